--- a/covetally/control/gauges.py
+++ b/covetally/control/gauges.py
@@ -72,12 +72,12 @@
 
     def start(self) -> None:
         """Begin to count."""
-        self._process.sidecar.on_final = self._final
+        self._process.sidecar.on_completed = self._final
         logging.getLogger().addHandler(self.ring)
 
     def stop(self) -> None:
         """Count no more."""
-        self._process.sidecar.on_final = None
+        self._process.sidecar.on_completed = None
         logging.getLogger().removeHandler(self.ring)
 
     def _final(self, cls: int, answer: Answer | None) -> None:
@@ -101,7 +101,7 @@
         return {
             "counts": self.counts(),
             "shed": process.frontend.shed,
-            "open": process.sidecar.open,
+            "open": process.sidecar.open_requests,
             "lag_ms": round(process.monitor.take_worst_s() * 1000, 1),
             "state": process.state,
         } | ({"roster": process.roster.brief()} if process.roster is not None else {})
--- a/covetally/membership/http.py
+++ b/covetally/membership/http.py
@@ -1,6 +1,6 @@
 """Calls to a registry over HTTP/1.1, on one kept connection, bounded in time, size and redirects.
 
-The seam to `net` is `Waiting`: the sockets and the parser of the request path, nothing else of it.
+The seam to `net` is `AsyncConnection`: the sockets and the parser of the request path, nothing else of it.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from urllib.parse import urljoin
 
 from covetally.net.message import Broken, End, Headers, Malformed, ResponseHead, encode
-from covetally.net.waiting import Waiting
+from covetally.net.async_connection import AsyncConnection
 from covetally.operator.url import Url, split_url
 
 REDIRECTS = 3
@@ -43,7 +43,7 @@
 class Answer:
     """An answer whose head has come; `body` reads the rest, decoded, in slices."""
 
-    def __init__(self, status: int, headers: Headers, client: Http, stream: Waiting, most: int) -> None:
+    def __init__(self, status: int, headers: Headers, client: Http, stream: AsyncConnection, most: int) -> None:
         self.status = status
         self._headers = dict(headers)
         self._client, self._stream, self._most = client, stream, most
@@ -100,7 +100,7 @@
     def __init__(self, most: int, authorization: bytes = b"") -> None:
         self._most = most
         self.authorization = authorization
-        self._stream: Waiting | None = None
+        self._stream: AsyncConnection | None = None
         self._origin: tuple[str, int] | None = None
         self.calls = self.connections = 0
 
@@ -147,18 +147,18 @@
             raise Broken("ended before an answer")
         return Answer(head.status, head.headers, self, stream, self._most)
 
-    async def _connected(self, origin: tuple[str, int]) -> Waiting:
+    async def _connected(self, origin: tuple[str, int]) -> AsyncConnection:
         stream = self._stream
         if stream is not None and (self._origin != origin or stream.disturbed()):
             await self.close()
             stream = None
         if stream is None:
             self.connections += 1
-            stream = await Waiting.connect(origin)
+            stream = await AsyncConnection.connect(origin)
         self._stream, self._origin = stream, origin
         return stream
 
-    def give_back(self, stream: Waiting) -> None:
+    def give_back(self, stream: AsyncConnection) -> None:
         """An answer was read to its end: keep the connection, if it may be kept."""
         if stream is self._stream and not stream.recycle():
             self._stream = None
@@ -177,7 +177,7 @@
     stream = None
     try:
         async with asyncio.timeout(within_s):
-            stream = await Waiting.connect(address)
+            stream = await AsyncConnection.connect(address)
             host = f"{address[0]}:{address[1]}".encode()
             first = f"GET {path} HTTP/1.1".encode()
             await stream.write(encode(first, [(b"host", host), (b"connection", b"close")], b""))
--- a/covetally/membership/platform.py
+++ b/covetally/membership/platform.py
@@ -35,7 +35,7 @@
 
     def learn(self, news: ListUpdate) -> None:
         """One answer of discovery."""
-        members = {} if news.whole else dict(self._members)
+        members = {} if news.full else dict(self._members)
         zones, kinds = self._settings.zones, self._settings.kinds
         for entry, address in news.entries:
             if entry.lifecycle == "removed":
@@ -46,7 +46,7 @@
                 entry.server, address, state, word, _named(zones, entry.zone), _named(kinds, entry.kind),
                 entry.cell, entry.weight, boot=entry.started_ns // 1_000_000, started_ns=entry.started_ns,
             )  # fmt: skip
-        self._members, self._whole, self._news = members, self._whole or news.whole, self._news + 1
+        self._members, self._whole, self._news = members, self._whole or news.full, self._news + 1
         self._on_read(Read(self.name, self.name, members, f"{self.name} #{self._news}", self._whole))
 
     def table(self) -> dict[str, Any]:
--- a/covetally/membership/roster.py
+++ b/covetally/membership/roster.py
@@ -109,7 +109,7 @@
         if self._plan.source == Platform.name and known.entries:
             started = {entry.server: entry.started_ns for entry, _ in known.entries}
             reads: list[Read] = []
-            Platform(self._settings, self._parts.discovery, reads.append).learn(known._replace(whole=True))
+            Platform(self._settings, self._parts.discovery, reads.append).learn(known._replace(full=True))
             told = self._believer.kept(self._parts.clock.now(), reads[0].members.values(), "the platform's known")
             self._tell([Told(t.member, t.lifecycle, started[t.member.id]) for t in told])
 
--- a/covetally/net/waiting.py
+++ b/covetally/net/async_connection.py
@@ -11,7 +11,7 @@
 from covetally.net.stream import Stream, unconnected
 
 
-class Waiting:
+class AsyncConnection:
     """One connection to a server. One coroutine at a time reads or writes."""
 
     def __init__(self, sock: socket.socket) -> None:
@@ -19,7 +19,7 @@
         self._waiter: asyncio.Future[None] | None = None
 
     @classmethod
-    async def connect(cls, address: tuple[str, int]) -> Waiting:
+    async def connect(cls, address: tuple[str, int]) -> AsyncConnection:
         """A new connection; OSError when it does not come up."""
         sock = unconnected(address)
         try:
--- a/covetally/net/attempt.py
+++ b/covetally/net/attempt.py
@@ -27,11 +27,11 @@
 
 from covetally.interface import How
 from covetally.net.message import Broken, End, Malformed, Switched
-from covetally.net.outcome import NO_LOAD, Bounds, Outcome, Request
+from covetally.net.outcome import NO_LOAD, AttemptLimits, Outcome, Request
 from covetally.net.reply import SWITCHED, Come, Reply
-from covetally.net.server import Owner, Server
+from covetally.net.server import ConnectionPool, Server
 from covetally.net.stream import Stream, tcp_info, unconnected
-from covetally.net.wheel import Timer
+from covetally.net.timer_wheel import Timer
 
 log = logging.getLogger(__name__)
 
@@ -59,13 +59,13 @@
     """One attempt, from its start to its one outcome."""
 
     __slots__ = (
-        "_abandon", "_began_ns", "_bounds", "_done", "_epoch", "_hold_back_s", "_last", "_owner",
+        "_abandon", "_began_ns", "_bounds", "_done", "_incarnation", "_hold_back_s", "_last", "_owner",
         "_pause", "_phase", "_reply", "_request", "_reused", "_sent", "_server", "_socket", "_starting",
         "_stream", "_verdict",
     )  # fmt: skip
 
     def __init__(
-        self, owner: Owner, server: Server | None, request: Request, bounds: Bounds,
+        self, owner: ConnectionPool, server: Server | None, request: Request, bounds: AttemptLimits,
         done: Callable[[Outcome], None],
     ) -> None:  # fmt: skip
         self._owner, self._request, self._done = owner, request, done
@@ -76,12 +76,12 @@
         self._sent = False  # the last byte is the kernel's: from here on it may have run
         self._reused = False
         self._verdict: How | None = None  # told by an answer's head; nothing after it can change that
-        self._reply = Reply(request, owner.read_load)
-        self._epoch = 0
+        self._reply = Reply(request, owner.parse_load_report)
+        self._incarnation = 0
         self._phase = CONNECTING
         self._abandon: Timer | None = None
         self._starting = True  # no outcome must be told yet
-        if server is None or server.leaving:
+        if server is None or server.draining:
             self._phase = OVER
             self._tell(Outcome(How.MOOT if server else How.CONNECT_FAILED, NO_LOAD))
             return
@@ -106,13 +106,13 @@
         self._stream, rest_s, settling_s = rested
         self._stream.on_news, self._stream.on_room = self._news, self._room
         self._reused = True
-        self._epoch = self._server.epoch
+        self._incarnation = self._server.incarnation
         if settling_s > 0:
             self._phase = SETTLING
-            self._wait(settling_s, partial(self._write, self._owner.hold_back_s(rest_s)))
+            self._wait(settling_s, partial(self._write, self._owner.last_byte_delay_s(rest_s)))
         else:
             # `take_idle` has looked at it in this very moment: nothing has run since.
-            self._write(self._owner.hold_back_s(rest_s), looked=True)
+            self._write(self._owner.last_byte_delay_s(rest_s), looked=True)
 
     def _wait(self, seconds: float, then: Callable[[], None]) -> None:
         self._pause = self._owner.loop.call_later(seconds, then)
@@ -120,21 +120,21 @@
     def _connect(self) -> None:
         owner, address = self._owner, self._server.address
         self._phase = CONNECTING
-        self._epoch = self._server.epoch
-        if not owner.reserve():
+        self._incarnation = self._server.incarnation
+        if not owner.reserve_connection():
             self._end(How.MOOT)  # it says nothing of the server
             return
         try:
             self._socket = sock = unconnected(address)
         except OSError as failure:
-            owner.release()
-            self._end(owner.fault_of(self._server, failure.errno))
+            owner.release_connection()
+            self._end(owner.classify_connect_error(self._server, failure.errno))
             return
         error = sock.connect_ex(address)
         if error == errno.EINPROGRESS:
             self._await_connection(sock)
         elif error:
-            self._end(owner.fault_of(self._server, error))
+            self._end(owner.classify_connect_error(self._server, error))
         else:
             self._up()
 
@@ -143,7 +143,7 @@
         try:
             owner.loop.add_writer(sock.fileno(), self._connected)
         except OSError as failure:
-            self._end(owner.fault_of(self._server, failure.errno))
+            self._end(owner.classify_connect_error(self._server, failure.errno))
             return
         self._pause = owner.wheel.call_at(owner.loop.time() + owner.connect_timeout_s, self._no_connection)
 
@@ -168,10 +168,10 @@
         try:
             self._stream = Stream(httptools.HttpResponseParser, sock, self._news, self._room)
         except OSError as failure:
-            self._end(self._owner.fault_of(self._server, failure.errno))
+            self._end(self._owner.classify_connect_error(self._server, failure.errno))
             return
         self._socket = None
-        self._owner.came_up(self._server)
+        self._owner.record_connected(self._server)
         self._write(0.0)
 
     def _no_connection(self) -> None:
@@ -211,8 +211,10 @@
         if not looked and stream.disturbed():
             self._unfit()
             return
-        if self._server.leaving:
-            self._end(How.MOOT)  # `bar` is about to be called: what has come first must not be written
+        if self._server.draining:
+            self._end(
+                How.MOOT
+            )  # `on_server_draining` is about to be called: what has come first must not be written
             return
         begin_by_ns = self._bounds.begin_by_ns
         if begin_by_ns and self._owner.clock.now() >= begin_by_ns:
@@ -249,7 +251,7 @@
         self._unwait()
         if self._reused:
             # Its last byte was never written: going on with a new connection is the same attempt.
-            self._owner.broke()
+            self._owner.record_broken_idle()
             self._drop()
             self._reused = False
             self._connect()
@@ -259,7 +261,7 @@
         else:
             self._end(How.RESET)
 
-    def abandon_by(self, at_ns: int) -> None:
+    def shorten_timeout(self, at_ns: int) -> None:
         """Be given up at `at_ns` on the owner's clock, if that is earlier than what it was to keep to."""
         if self._phase is OVER or at_ns >= self._bounds.abandon_ns:
             return
@@ -268,9 +270,9 @@
             self._abandon.cancel()
         self._abandon = self._owner.wheel.call_at(self._owner.clock.loop_time(at_ns), self._abandoned)
 
-    def bar(self) -> None:
+    def on_server_draining(self) -> None:
         """The server wants nothing new any more. That says nothing against it."""
-        if not self._sent and self._server.leaving:
+        if not self._sent and self._server.draining:
             self._end(How.MOOT)
 
     # --- the answer -----------------------------------------------------------------------------
@@ -321,7 +323,7 @@
         if answer.status == SWITCHED:
             sock, early = stream.detach()
             self._stream = None
-            self._owner.release()
+            self._owner.release_connection()
             answer = answer._replace(switched=Switched(sock, early))
         elif come.how is How.OK:
             self._give_back()
@@ -353,7 +355,7 @@
         """Keep the connection of a finished exchange if it may carry another."""
         stream, server = self._stream, self._server
         assert stream is not None
-        if self._sent and not server.leaving and self._epoch == server.epoch and stream.recycle():
+        if self._sent and not server.draining and self._incarnation == server.incarnation and stream.recycle():
             self._stream = None
             self._owner.add_idle(server, stream)
 
@@ -387,7 +389,7 @@
         if self._phase is OVER:
             return
         if how is How.RESET and self._reused and not self._reply.answered:
-            self._owner.broke()
+            self._owner.record_broken_idle()
         if self._verdict is not None:
             how = self._verdict
         elif not self._sent and how is not How.MOOT:
@@ -420,8 +422,8 @@
             sock, self._socket = self._socket, None
             self._owner.loop.remove_writer(sock.fileno())
             sock.close()
-            self._owner.release()
+            self._owner.release_connection()
         if self._stream is not None:
             stream, self._stream = self._stream, None
             stream.abort()
-            self._owner.release()
+            self._owner.release_connection()
--- a/covetally/net/budget.py
+++ b/covetally/net/budget.py
@@ -5,7 +5,7 @@
 SMALL = 4 * 1024  # bodies up to this size need no part of the pool: connections bound their number
 
 
-class Exhausted(Exception):
+class BudgetExhausted(Exception):
     """There is no memory left for this body."""
 
 
@@ -26,7 +26,7 @@
         self._pool = pool
 
 
-class Hold:
+class BodyReservation:
     """One body's part of the budget."""
 
     def __init__(self, budget: BodyBudget) -> None:
@@ -35,11 +35,11 @@
         self._taken = 0
 
     def grow(self, size: int) -> None:
-        """Hold so many further bytes; Exhausted if the pool has not got them."""
+        """Hold so many further bytes; BudgetExhausted if the pool has not got them."""
         self._size += size
         more = self._size - self._taken if self._size > SMALL else 0
         if more > max(0, self._budget.free):
-            raise Exhausted
+            raise BudgetExhausted
         self._budget.free -= more
         self._taken += more
 
--- a/covetally/net/client.py
+++ b/covetally/net/client.py
@@ -17,7 +17,7 @@
 
 import httptools
 
-from covetally.net.budget import Exhausted, Hold
+from covetally.net.budget import BudgetExhausted, BodyReservation
 from covetally.net.closing import CloseReason
 from covetally.net.heads import PLAIN, Rejected
 from covetally.net.host import Host
@@ -34,10 +34,10 @@
     joined,
 )
 from covetally.net.outcome import Request
-from covetally.net.seams import Upgrade
+from covetally.net.extensions import Upgrade
 from covetally.net.sidecar import refusal as refused
 from covetally.net.stream import Stream
-from covetally.net.wheel import Timer
+from covetally.net.timer_wheel import Timer
 
 log = logging.getLogger(__name__)
 
@@ -81,7 +81,7 @@
         self._host = host
         self._loop = asyncio.get_running_loop()
         self._phase = READING
-        self._hold = Hold(host.budget)
+        self._hold = BodyReservation(host.budget)
         self._tid = ""  # of the request whose answer is owed, once it is known
         self._head: RequestHead | None = None
         self._body: bytes | bytearray = b""
@@ -129,7 +129,7 @@
             self.stream.empty()  # its last answer may still be on its way
         self.stream.abort(reset)
         if phase is WAITING and self._tid:
-            self._host.sidecar.hang_up(self._tid)
+            self._host.sidecar.client_left(self._tid)
         if self._upgrade is not None:
             self._turn_down(None)
         self._host.ended(self, reason)
@@ -232,7 +232,7 @@
         if not PLAIN.fullmatch(low):
             return False
         age_ns = time.monotonic_ns() - self.stream.received_at
-        refusal = self._host.sidecar.glance(age_ns, b"\r\nx-second-try: 1\r\n" in low)
+        refusal = self._host.sidecar.early_refusal(age_ns, b"\r\nx-second-try: 1\r\n" in low)
         if not refusal or self._host.drain_stage.draining:
             self._let_in = True
             return False
@@ -270,7 +270,7 @@
             self._reject(error.status, str(error), error.headers)
         except Rejected as error:
             self._reject(error.status, str(error))
-        except Exhausted:
+        except BudgetExhausted:
             self._reject(503, "no memory left for this body")
         except Broken:
             self.close(CloseReason.CLIENT_LEFT)
@@ -286,7 +286,7 @@
         upgrades = self._host.upgrades
         if upgrades is not None and b"upgrade" in head.fields and upgrades.wants(head):
             self._upgrade = upgrade = upgrades.begin(head)
-            self._headers, self._arrival, self.trace_id = upgrade.headers, upgrade.arrival, upgrade.trace_id
+            self._headers, self._arrival, self.trace_id = upgrade.headers, upgrade.request_info, upgrade.trace_id
             return
         self._headers, self._arrival, self.trace_id = self._host.heads.read(head)
         if head.fields.get(b"expect", b"").lower() == b"100-continue":
@@ -330,9 +330,9 @@
         self._tid = ""
         age_ns = time.monotonic_ns() - stream.received_at  # its time counts from its last byte
         let_in, self._let_in = self._let_in, False
-        self._tid = host.sidecar.take(self, arrival, age_ns, let_in, self.trace_id)
+        self._tid = host.sidecar.accept(self, arrival, age_ns, let_in, self.trace_id)
         if self._phase is CLOSED:  # found to have left, before the id was known by which it is hung up
-            host.sidecar.hang_up(self._tid)
+            host.sidecar.client_left(self._tid)
 
     # --- the answer -----------------------------------------------------------------------------
 
--- a/covetally/net/clock.py
+++ b/covetally/net/clock.py
@@ -4,7 +4,7 @@
 
 import time
 
-from covetally.net.wheel import Wheel
+from covetally.net.timer_wheel import TimerWheel
 
 
 class Clock:
@@ -15,7 +15,7 @@
     """
 
     def __init__(self) -> None:
-        self.wheel = Wheel()
+        self.wheel = TimerWheel()
         self._offset = time.time_ns() - time.monotonic_ns()
 
     def now(self) -> int:
--- a/covetally/net/discovery.py
+++ b/covetally/net/discovery.py
@@ -22,12 +22,12 @@
 from functools import partial
 
 from covetally.interface import Settings
-from covetally.net import asking
+from covetally.net import discovery_schedule
 from covetally.net.config import Address
 from covetally.net.discovery_call import DiscoveryCall
 from covetally.net.message import Malformed
-from covetally.net.server_list import ListError, ListUpdate, read_list, salvage
-from covetally.net.waiting import Waiting
+from covetally.net.server_list import ListError, ListUpdate, parse_list, parse_partial_list
+from covetally.net.async_connection import AsyncConnection
 
 log = logging.getLogger(__name__)
 
@@ -47,7 +47,7 @@
     """A call that may still be answered. Times are the loop's, in seconds."""
 
     call: DiscoveryCall
-    terms: asking.Call
+    terms: discovery_schedule.CallTiming
     began: float
     task: asyncio.Task[bytes]
     timer: asyncio.TimerHandle  # ends its patience, then its life
@@ -62,14 +62,14 @@
         self._grace_s = settings.invariants.drain_grace_ns / 1e9
         self._address = address
         self._index: int | None = None  # the version of the list that is known
-        self._connection: Waiting | None = None  # kept between two calls
+        self._connection: AsyncConnection | None = None  # kept between two calls
         self._failing = False  # the newest call that has ended, or ran out of patience
         self._state = State.IDLE
         self._newest: _OpenCall | None = None
         self._kept: list[_OpenCall] = []  # ran out of patience, and may still be answered
         self._kept_began = float("-inf")  # when the one that was kept last had begun
         self._pause: asyncio.TimerHandle | None = None
-        self.on_list: Callable[[ListUpdate], None]
+        self.on_update: Callable[[ListUpdate], None]
         self.on_failure: Callable[[], None]
 
     # --- what is wanted of it -------------------------------------------------------------------
@@ -95,14 +95,14 @@
             self._connection.close()
             self._connection = None
 
-    def again(self) -> None:
+    def restart(self) -> None:
         """Watch anew, beginning with the whole list, whatever was told before."""
         self.stop()
         self._index, self._failing = None, False
         self.start()
         self.subscribe()
 
-    def move(self, address: Address) -> None:
+    def set_address(self, address: Address) -> None:
         """Discovery is at another address: what the old one still has to tell no longer counts.
 
         The new one numbers its versions its own way, so the first call asks for the whole list.
@@ -123,11 +123,11 @@
         loop = asyncio.get_running_loop()
         self._state = State.ASKING
         self._end_pause()
-        terms = asking.call(self._pushed, self._index is not None, self._failing, self._grace_s)
+        terms = discovery_schedule.next_call(self._pushed, self._index is not None, self._failing, self._grace_s)
         target = PATH if terms.wait_ms < 0 else f"{PATH}?index={self._index}&wait={terms.wait_ms}"
         call = DiscoveryCall(self._address, target, self._take_connection())
         task = loop.create_task(call.run())
-        timer = loop.call_later(terms.within_s, self._out_of_patience)
+        timer = loop.call_later(terms.timeout_s, self._out_of_patience)
         self._newest = found = _OpenCall(call, terms, loop.time(), task, timer)
         task.add_done_callback(partial(self._ended, found))
 
@@ -136,7 +136,7 @@
             self._pause.cancel()
             self._pause = None
 
-    def _take_connection(self) -> Waiting | None:
+    def _take_connection(self) -> AsyncConnection | None:
         connection, self._connection = self._connection, None
         if connection is not None and connection.disturbed():
             connection.close()
@@ -148,15 +148,15 @@
         found, self._newest = self._newest, None
         assert found is not None
         self._salvage(found)
-        keep_s = asking.keep_s(self._pushed, found.terms)
-        if found.began - self._kept_began >= keep_s / asking.MOST_KEPT or not self._kept:
+        keep_s = discovery_schedule.keep_open_s(self._pushed, found.terms)
+        if found.began - self._kept_began >= keep_s / discovery_schedule.MAX_KEPT_CALLS or not self._kept:
             self._kept.append(found)
             self._kept_began = found.began
             at = found.began + keep_s
             found.timer = asyncio.get_running_loop().call_at(at, self._give_up, found)
         else:
             self._close(found)
-        self._failed(f"no answer within {found.terms.within_s:.2f} s")
+        self._failed(f"no answer within {found.terms.timeout_s:.2f} s")
 
     def _give_up(self, found: _OpenCall) -> None:
         """A call that was kept beside others has had its time."""
@@ -184,7 +184,7 @@
             return
         found.timer.cancel()
         try:
-            update = read_list(self._settings, _parsed(task.result()))
+            update = parse_list(self._settings, _parsed(task.result()))
         except (OSError, Malformed, ListError) as error:
             self._broken(found, f"{type(error).__name__}: {error}")
         except Exception as error:
@@ -227,7 +227,7 @@
             log.warning("discovery: %s", text)
             self._ask()
         elif self._pushed:
-            pause_s = asking.pause_s(self._grace_s)
+            pause_s = discovery_schedule.retry_pause_s(self._grace_s)
             self._state = State.PAUSING
             self._pause = asyncio.get_running_loop().call_later(pause_s, self._ask)
         else:
@@ -236,19 +236,19 @@
 
     def _salvage(self, found: _OpenCall) -> None:
         """What came whole of an answer that is not is true."""
-        entries = salvage(self._settings, found.call.received.decode("utf-8", "replace"))
+        entries = parse_partial_list(self._settings, found.call.received.decode("utf-8", "replace"))
         if entries:
-            self.on_list(ListUpdate(0, False, entries))
+            self.on_update(ListUpdate(0, False, entries))
 
     def _learn(self, update: ListUpdate) -> None:
-        if self._index is not None and update.generation < self._index and not update.whole:
+        if self._index is not None and update.generation < self._index and not update.full:
             # A discovery that started anew counts from below: changes since our version mean nothing to it.
             log.warning("discovery went back from version %d to %d", self._index, update.generation)
             self._index = None
         else:
             self._index = update.generation
-        if update.whole or update.entries:
-            self.on_list(update)
+        if update.full or update.entries:
+            self.on_update(update)
 
 
 def _parsed(body: bytes) -> object:
--- a/covetally/net/discovery_call.py
+++ b/covetally/net/discovery_call.py
@@ -5,7 +5,7 @@
 from covetally.net.config import Address
 from covetally.net.message import Broken, End, ResponseHead, encode
 from covetally.net.server_list import ListError
-from covetally.net.waiting import Waiting
+from covetally.net.async_connection import AsyncConnection
 
 MAX_LIST = 8 * 1024 * 1024  # bytes
 
@@ -13,7 +13,7 @@
 class DiscoveryCall:
     """A request and its answer. `received` is what has come of the answer's body, whole or not."""
 
-    def __init__(self, address: Address, target: str, connection: Waiting | None) -> None:
+    def __init__(self, address: Address, target: str, connection: AsyncConnection | None) -> None:
         self._address, self._target = address, target
         self._connection = connection  # kept from an earlier call; None: a new one is made
         self.received = bytearray()
@@ -23,13 +23,13 @@
         closed by any failure, cancellation included."""
         try:
             if self._connection is None:
-                self._connection = await Waiting.connect(self._address)
+                self._connection = await AsyncConnection.connect(self._address)
             return await self._exchange(self._connection)
         except BaseException:
             self.close()
             raise
 
-    async def _exchange(self, connection: Waiting) -> bytes:
+    async def _exchange(self, connection: AsyncConnection) -> bytes:
         host = f"{self._address[0]}:{self._address[1]}".encode()
         await connection.write(encode(f"GET {self._target} HTTP/1.1".encode(), [(b"host", host)], b""))
         head = await connection.next_event()
@@ -45,7 +45,7 @@
             raise Broken("ended inside an answer")
         return bytes(self.received)
 
-    def take_connection(self) -> Waiting | None:
+    def take_connection(self) -> AsyncConnection | None:
         """The connection of a call that was answered, for the next one; None if it must not carry another."""
         connection, self._connection = self._connection, None
         if connection is not None and not connection.recycle():
--- a/covetally/net/seams.py
+++ b/covetally/net/extensions.py
@@ -8,7 +8,7 @@
 
 from covetally.net.message import Answer, Headers, RequestHead
 from covetally.net.outcome import Switch
-from covetally.net.sidecar import Arrival
+from covetally.net.sidecar import RequestInfo
 
 
 class Upgrade(NamedTuple):
@@ -16,13 +16,13 @@
     and what the answer has to be. `token` is for whoever made it."""
 
     headers: Headers
-    arrival: Arrival
+    request_info: RequestInfo
     trace_id: bytes
     token: Any
     switch: Switch
 
 
-class Upgrades(Protocol):
+class UpgradeHandler(Protocol):
     """Takes over connections whose clients want another protocol."""
 
     def wants(self, head: RequestHead) -> bool:
--- a/covetally/net/frontend.py
+++ b/covetally/net/frontend.py
@@ -20,11 +20,11 @@
 from covetally.net.heads import Heads
 from covetally.net.ids import RecentIds
 from covetally.net.invariants import Invariant
-from covetally.net.seams import Claims, Gate, Upgrades
+from covetally.net.extensions import Claims, Gate, UpgradeHandler
 from covetally.net.shutdown_times import times_within
 from covetally.net.sidecar import Sidecar
 from covetally.net.stream import tcp_info
-from covetally.net.system_errors import NEXT_ACCEPT
+from covetally.net.system_errors import RETRY_ACCEPT_ERRORS
 from covetally.net.turns import Turns
 
 log = logging.getLogger(__name__)
@@ -87,7 +87,7 @@
         self._accepting = False
         self._drained = asyncio.Event()
         self.shed = 0  # requests refused at a glance, unread
-        self.upgrades: Upgrades | None = None
+        self.upgrades: UpgradeHandler | None = None
         self.turns = Turns(sidecar)
 
     def retune(self, settings: Settings, limit: int, body_memory: int) -> None:
@@ -148,7 +148,7 @@
         except BlockingIOError:
             return NONE_WAITING
         except OSError as error:
-            if error.errno in NEXT_ACCEPT:
+            if error.errno in RETRY_ACCEPT_ERRORS:
                 return FAILED
             # The listener stays readable: without a pause the loop would spin on it and serve nobody.
             log.warning("cannot accept: %s", error)
@@ -324,7 +324,7 @@
         self.drain_stage.end()
         if self._drain_timer is not None:
             self._drain_timer.cancel()
-        self.sidecar.end_by(answered_by)
+        self.sidecar.shut_down_by(answered_by)
         # Early: a request that crosses this is sent anew and finds the listener open. Not those that have just
         # come: their first request is on its way.
         self._close_silent(self._order.idle)
--- a/covetally/net/heads.py
+++ b/covetally/net/heads.py
@@ -7,7 +7,7 @@
 
 from covetally.interface import SECOND, Settings
 from covetally.net.message import HOP_BY_HOP, MAX_BODY, Fields, Headers, RequestHead, end_to_end
-from covetally.net.sidecar import Arrival
+from covetally.net.sidecar import RequestInfo
 
 READY_PATH = b"/_health"
 MAX_COST_NS = 60 * SECOND  # no hint of more work than this is believed
@@ -59,7 +59,7 @@
         self._classes = {c.name.encode(): (i, c) for i, c in enumerate(settings.classes)}
         self._tenants = {t.name.encode(): i for i, t in enumerate(settings.tenants)}
 
-    def read(self, head: RequestHead) -> tuple[Headers, Arrival | None, bytes]:
+    def read(self, head: RequestHead) -> tuple[Headers, RequestInfo | None, bytes]:
         """The headers to pass on, what the module is told, and the request's id; nothing for the module where it
         is asked whether it is ready."""
         method, target, raw, values = head
@@ -86,7 +86,7 @@
         if not expires_s:
             raise Rejected(400, "X-Expires-In is not a number above 0")
         ttl_ns, hint = int(expires_s * SECOND), find(b"x-size-hint")
-        arrival = Arrival(
+        arrival = RequestInfo(
             number,
             ttl_ns if ttl_ns < cls.deadline_ns else cls.deadline_ns,
             min(int(_number(hint) * 1000), MAX_COST_NS) if hint else 0,
--- a/covetally/net/host.py
+++ b/covetally/net/host.py
@@ -8,10 +8,10 @@
 from covetally.net.closing import CloseReason
 from covetally.net.drain_stage import DrainStage
 from covetally.net.heads import Heads
-from covetally.net.seams import Gate, Upgrades
+from covetally.net.extensions import Gate, UpgradeHandler
 from covetally.net.sidecar import Sidecar
 from covetally.net.turns import Turns
-from covetally.net.wheel import Wheel
+from covetally.net.timer_wheel import TimerWheel
 
 if TYPE_CHECKING:
     from covetally.net.client import Client
@@ -21,11 +21,11 @@
     """Who let the connection in, and decides between it and others."""
 
     sidecar: Sidecar
-    wheel: Wheel
+    wheel: TimerWheel
     budget: BodyBudget
     heads: Heads
     gate: Gate | None
-    upgrades: Upgrades | None
+    upgrades: UpgradeHandler | None
     drain_stage: DrainStage
     turns: Turns
     shed: int
--- a/covetally/net/outcome.py
+++ b/covetally/net/outcome.py
@@ -39,7 +39,7 @@
         return b"\r\n".join(lines)
 
 
-class Bounds(NamedTuple):
+class AttemptLimits(NamedTuple):
     """What an attempt keeps to: it is given up at `abandon_ns`, not begun past `begin_by_ns` (0: no such bound),
     and not begun once its client has left, which `wanted` finds out."""
 
--- a/covetally/net/peers.py
+++ b/covetally/net/peers.py
@@ -21,9 +21,9 @@
     def __init__(self, peers: tuple[Address, ...], peers_all: Address | None) -> None:
         self._transport: asyncio.DatagramTransport | None = None
         self.on_message: Callable[[int, bytes], None]  # the sender's number, what it sent
-        self.move(peers, peers_all)
+        self.set_peers(peers, peers_all)
 
-    def move(self, peers: tuple[Address, ...], peers_all: Address | None) -> None:
+    def set_peers(self, peers: tuple[Address, ...], peers_all: Address | None) -> None:
         """Talk to these from here on."""
         self._peers = peers
         self._all = peers_all
--- a/covetally/net/server.py
+++ b/covetally/net/server.py
@@ -11,13 +11,13 @@
 from covetally.net.config import Address
 from covetally.net.outcome import Load
 from covetally.net.stream import Stream
-from covetally.net.wheel import Timer, Wheel
+from covetally.net.timer_wheel import Timer, TimerWheel
 
 
-class Unsent(Protocol):
+class UnsentAttempt(Protocol):
     """An attempt that is not wholly written yet."""
 
-    def bar(self) -> None:
+    def on_server_draining(self) -> None:
         """Its server wants nothing new any more."""
 
 
@@ -27,21 +27,21 @@
 
     address: Address
     started_ns: int = 0
-    epoch: int = 0  # counts the processes seen behind this name
-    leaving: bool = False  # it drains or has gone: nothing new is written to it
+    incarnation: int = 0  # counts the processes seen behind this name
+    draining: bool = False  # it drains or has gone: nothing new is written to it
     idle: dict[Stream, float] = field(default_factory=dict)  # and since when, on the loop's clock
-    sweep: Timer | None = None  # closes what has rested its time
-    unsent: set[Unsent] = field(default_factory=set)
+    idle_timer: Timer | None = None  # closes what has rested its time
+    unsent: set[UnsentAttempt] = field(default_factory=set)
     local_failures: int = 0  # dials in a row that failed for a lack of this machine's, and
-    local_since: float = 0.0  # the first of them, on the loop's clock
+    local_failures_since: float = 0.0  # the first of them, on the loop's clock
 
 
-class Owner(Protocol):
+class ConnectionPool(Protocol):
     """Who has the connections to all servers."""
 
     loop: asyncio.AbstractEventLoop
     clock: Clock
-    wheel: Wheel
+    wheel: TimerWheel
     connect_timeout_s: float
 
     def take_idle(self, server: Server) -> tuple[Stream, float, float] | None:
@@ -50,23 +50,23 @@
     def add_idle(self, server: Server, stream: Stream) -> None:
         """Take the connection of a finished exchange to rest."""
 
-    def reserve(self) -> bool:
+    def reserve_connection(self) -> bool:
         """A place for a new connection; False if there is none."""
 
-    def release(self) -> None:
+    def release_connection(self) -> None:
         """A connection has gone, or did not come up."""
 
-    def fault_of(self, server: Server, error: int | None) -> How:
+    def classify_connect_error(self, server: Server, error: int | None) -> How:
         """What a dial that failed at once with this errno proves: MOOT where it says nothing of the server."""
 
-    def came_up(self, server: Server) -> None:
+    def record_connected(self, server: Server) -> None:
         """A connection to it has come up."""
 
-    def broke(self) -> None:
+    def record_broken_idle(self) -> None:
         """A kept connection broke when it was used again."""
 
-    def hold_back_s(self, rest_s: float) -> float:
+    def last_byte_delay_s(self, rest_s: float) -> float:
         """How long the last byte of a request waits on a connection that rested so long."""
 
-    def read_load(self, text: bytes) -> Load:
+    def parse_load_report(self, text: bytes) -> Load:
         """A load report, empty if it cannot be read."""
--- a/covetally/net/server_list.py
+++ b/covetally/net/server_list.py
@@ -28,17 +28,17 @@
     """One answer of discovery."""
 
     generation: int
-    whole: bool
+    full: bool
     entries: list[tuple[Entry, Address]]
 
 
-def read_list(settings: Settings, raw: Any) -> ListUpdate:
+def parse_list(settings: Settings, raw: Any) -> ListUpdate:
     """A list in discovery's form; ListError if any of it is malformed."""
     try:
-        generation, whole, items = raw["generation"], raw["reset"], raw["instances"]
-        if not isinstance(generation, int) or not isinstance(whole, bool) or not isinstance(items, list):
+        generation, full, items = raw["generation"], raw["reset"], raw["instances"]
+        if not isinstance(generation, int) or not isinstance(full, bool) or not isinstance(items, list):
             raise ListError("generation, reset or instances of the wrong type")
-        return ListUpdate(generation, whole, [_entry(settings, item) for item in items])
+        return ListUpdate(generation, full, [_entry(settings, item) for item in items])
     except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as error:
         raise ListError(f"{type(error).__name__}: {error}") from None
 
@@ -63,7 +63,7 @@
     return names.index(name) if name in names else len(names)
 
 
-def salvage(settings: Settings, text: str) -> list[tuple[Entry, Address]]:
+def parse_partial_list(settings: Settings, text: str) -> list[tuple[Entry, Address]]:
     """The entries that came whole in an answer that did not: each of them is true."""
     entries = []
     start = _PREAMBLE.match(text)
--- a/covetally/net/sidecar.py
+++ b/covetally/net/sidecar.py
@@ -40,10 +40,10 @@
 from covetally.net.clock import Clock
 from covetally.net.invariants import Invariant, Violations
 from covetally.net.message import Answer, encode
-from covetally.net.outcome import Bounds, Outcome, Request
+from covetally.net.outcome import AttemptLimits, Outcome, Request
 from covetally.net.repeat_guard import may_repeat
 from covetally.net.upstream import Upstream
-from covetally.net.wheel import Timer
+from covetally.net.timer_wheel import Timer
 from covetally.policy import Balancer
 
 log = logging.getLogger(__name__)
@@ -52,7 +52,7 @@
 SWEEP_S = 0.02  # at the latest so long after that
 
 
-class Arrival(NamedTuple):
+class RequestInfo(NamedTuple):
     """What the module is told of a request whose head was read; see `Accept`."""
 
     cls: int
@@ -64,7 +64,7 @@
     upgrade: bool = False
 
 
-class Watcher(Protocol):
+class RequestObserver(Protocol):
     """What knows requests beside the module: the fleet's overload line (covetally/overload)."""
 
     def place(self, name: bytes, cls: int, tenant: int, retry: bool) -> float:
@@ -125,20 +125,22 @@
         self._signal = signal
         self._subscribe = subscribe
         self._calls: dict[str, _Call] = {}
-        self._taken = 0
+        self._accepted = 0
         self._sweep: Timer | None = None
         self.on_outcome: Callable[[str, How], None] | None = None  # server, how an attempt there ended
         # the same, and the class of the call and when the attempt was sent
         self.on_attempt: Callable[[str, How, int, int], None] | None = None
-        self.watcher: Watcher | None = None
-        self.on_final: Callable[[int, Answer | None], None] | None = None  # class, answer; None: the client left
+        self.observer: RequestObserver | None = None
+        self.on_completed: Callable[[int, Answer | None], None] | None = (
+            None  # class, answer; None: the client left
+        )
         self.violations = Violations()
         self._classes = settings.classes
         self.tracing = False  # each attempt and each answer is logged, at DEBUG
-        self._end_ns = 0  # when the last answer is to be given, once the process is told to end; 0 before
+        self._shutdown_ns = 0  # when the last answer is to be given, once the process is told to end; 0 before
         self._balancer = Balancer(settings, seed, clock.now())
 
-    def retune(self, settings: Settings) -> None:
+    def apply_settings(self, settings: Settings) -> None:
         """Other figures for the same classes, from here on."""
         self._classes = settings.classes
         self._balancer.retune(settings)
@@ -152,7 +154,7 @@
         return self._balancer.zones()
 
     @property
-    def open(self) -> int:
+    def open_requests(self) -> int:
         """Requests that are owed an answer or have attempts out."""
         return len(self._calls)
 
@@ -164,49 +166,49 @@
         return self._balancer.shedding
 
     @property
-    def old_ns(self) -> int:
+    def max_wait_ns(self) -> int:
         """What has waited for longer is refused while it sheds."""
         return self._balancer.old
 
-    def glance(self, age_ns: int, retry: bool) -> bytes:
+    def early_refusal(self, age_ns: int, retry: bool) -> bytes:
         """The refusal, on the wire, for a request that has waited so long and need not be read; empty if it is
         let in."""
         hold_off_ns = self._balancer.glance(self._clock.now(), age_ns, retry)
         return _refused(hold_off_ns) if hold_off_ns else b""
 
-    def take(
-        self, exchange: Exchange, arrival: Arrival, age_ns: int = 0, let_in: bool = False, name: bytes = b""
+    def accept(
+        self, exchange: Exchange, info: RequestInfo, age_ns: int = 0, let_in: bool = False, name: bytes = b""
     ) -> str:
         """A client's request is whole, and has been for so long: an answer is owed from now on. Returns the id
         that it is known by here."""
-        self._taken += 1
-        tid = f"{self._taken:016x}"
-        cls, ttl_ns, *rest, upgrade = arrival
+        self._accepted += 1
+        tid = f"{self._accepted:016x}"
+        cls, ttl_ns, *rest, upgrade = info
         ttl_ns = max(ttl_ns - age_ns, 1)
         now = self._clock.now()
-        if self._end_ns:
-            ttl_ns = max(min(ttl_ns, self._end_ns - now), 1)
+        if self._shutdown_ns:
+            ttl_ns = max(min(ttl_ns, self._shutdown_ns - now), 1)
         self._calls[tid] = _Call(exchange, cls, now + ttl_ns)
         if self._sweep is None:
             self._sweep_later()
         place = 0.0
-        if self.watcher is not None:
-            place = self.watcher.place(name, cls, arrival.tenant, arrival.retry)
+        if self.observer is not None:
+            place = self.observer.place(name, cls, info.tenant, info.retry)
         self._handle(Accept(tid, cls, ttl_ns, *rest, age_ns, let_in, upgrade, place), now)
         return tid
 
-    def end_by(self, at: float) -> None:
+    def shut_down_by(self, at: float) -> None:
         """The process ends: whatever is open, and whatever is still taken, is answered by `at`, on the loop's
         clock. What cannot be served by then is refused where that is true of it, and fails otherwise."""
         now = self._clock.now()
-        self._end_ns = max(now + int((at - asyncio.get_running_loop().time()) * 1e9), 1)
+        self._shutdown_ns = max(now + int((at - asyncio.get_running_loop().time()) * 1e9), 1)
         for call in self._calls.values():
-            call.deadline_ns = min(call.deadline_ns, self._end_ns)
+            call.deadline_ns = min(call.deadline_ns, self._shutdown_ns)
             for attempt in call.attempts.values():
-                attempt.abandon_by(self._end_ns)
-        self._handle(Ending(self._end_ns), now)
+                attempt.shorten_timeout(self._shutdown_ns)
+        self._handle(Ending(self._shutdown_ns), now)
 
-    def hang_up(self, tid: str) -> None:
+    def client_left(self, tid: str) -> None:
         """The client left. Its attempts are called off: their connections are closed."""
         call = self._calls.get(tid)
         if call is None or call.over:
@@ -217,15 +219,15 @@
         self._handle(Hangup(tid))
         self._forget(tid, call)
 
-    def directory(self, event: Directory) -> None:
+    def update_servers(self, event: Directory) -> None:
         """An update of the list of servers."""
         self._handle(event)
 
-    def suspect(self, server: str) -> None:
+    def report_unresponsive(self, server: str) -> None:
         """A server does not answer, as other evidence than attempts tells."""
         self._handle(Suspect(server))
 
-    def advise(self, event: Event) -> None:
+    def handle_event(self, event: Event) -> None:
         """What the sidecars of the tier together make of servers, or this one's part of a limit."""
         self._handle(event)
 
@@ -233,11 +235,11 @@
         """What was wanted of each limit since this was last read; see the module."""
         return self._balancer.demand()
 
-    def holds(self, server: str, change: int) -> None:
+    def adjust_held_connections(self, server: str, change: int) -> None:
         """So many more connections of another protocol are open to a server, or fewer."""
         self._handle(Held(server, change))
 
-    def heard(self, blob: bytes) -> None:
+    def receive_gossip(self, blob: bytes) -> None:
         """A message from another sidecar."""
         self._handle(Heard(blob))
 
@@ -255,7 +257,7 @@
         for tid, call in [pair for pair in self._calls.items() if pair[1].deadline_ns < late]:
             if not call.over:
                 self.violations.report(Invariant.OVERDUE, self._name(tid), "not answered by its deadline")
-                self.hang_up(tid)
+                self.client_left(tid)
                 call.exchange.finish(Answer(502, []))
         if self._calls:
             self._sweep_later()
@@ -307,7 +309,7 @@
         if self.tracing:
             log.debug("request %s: attempt %d at %s", self._name(action.tid), number, action.server)
         done = partial(self._settle, action, call, number, now)
-        bounds = Bounds(abandon_ns, call.exchange.wanted, action.begin_by_ns)
+        bounds = AttemptLimits(abandon_ns, call.exchange.wanted, action.begin_by_ns)
         call.attempts[number] = self._upstream.attempt(action.server, call.exchange.request, bounds, done)
 
     def _may_repeat(self, action: Submit, call: _Call, now: int) -> bool:
@@ -350,8 +352,8 @@
         lag_ns = outcome.lag_ns or passed_ns
         own_ns = max(0, passed_ns - lag_ns)
         event = Response(tid, outcome.how, lag_ns, action.server, number, call.over, outcome.load, own_ns)
-        if self.watcher is not None:
-            self.watcher.outcome(event, call.cls)
+        if self.observer is not None:
+            self.observer.outcome(event, call.cls)
         self._handle(event, now)
         self._forget(tid, call)
 
@@ -368,10 +370,10 @@
     def _close(self, call: _Call, answer: Answer | None) -> None:
         """The request is over: whatever was still out for it is called off."""
         call.over = True
-        if self.on_final is not None:
-            self.on_final(call.cls, answer)
-        if self.watcher is not None:
-            self.watcher.ended(answer is not None and answer.status == 200)
+        if self.on_completed is not None:
+            self.on_completed(call.cls, answer)
+        if self.observer is not None:
+            self.observer.ended(answer is not None and answer.status == 200)
         for attempt in call.attempts.values():
             attempt.cancel()
 
--- a/covetally/net/stream.py
+++ b/covetally/net/stream.py
@@ -16,7 +16,7 @@
 from collections.abc import Callable
 
 from covetally.net.message import Broken, Event, Reader, Role
-from covetally.net.system_errors import TRANSIENT_TRANSFER
+from covetally.net.system_errors import TRANSIENT_IO_ERRORS
 
 log = logging.getLogger(__name__)
 
@@ -100,7 +100,7 @@
         except (BlockingIOError, InterruptedError):
             return
         except OSError as error:
-            if error.errno in TRANSIENT_TRANSFER:
+            if error.errno in TRANSIENT_IO_ERRORS:
                 return
             self.abort()
         else:
@@ -130,7 +130,7 @@
         except (BlockingIOError, InterruptedError):
             return
         except OSError as error:
-            if error.errno in TRANSIENT_TRANSFER:
+            if error.errno in TRANSIENT_IO_ERRORS:
                 return
             self.abort()
             told = self.on_news
@@ -249,7 +249,7 @@
         except (BlockingIOError, InterruptedError):
             count = 0
         except OSError as error:
-            if error.errno not in TRANSIENT_TRANSFER:
+            if error.errno not in TRANSIENT_IO_ERRORS:
                 self.abort()
                 raise Broken(f"connection lost while writing: {error}") from None
             count = 0
--- a/covetally/net/system_errors.py
+++ b/covetally/net/system_errors.py
@@ -10,19 +10,19 @@
 import errno
 
 # Descriptors and memory, of the process or the machine.
-LACKS = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
+RESOURCE_ERRORS = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
 
 # socket(2), connect(2), epoll_ctl(2): no descriptor, memory, port or route to be had here, for now.
-LOCAL_CONNECT = frozenset({
-    *LACKS, errno.ENOSPC, errno.EAGAIN, errno.EADDRNOTAVAIL, errno.EADDRINUSE, errno.EACCES, errno.EPERM,
-    errno.ENETUNREACH, errno.ENETDOWN,
+LOCAL_CONNECT_ERRORS = frozenset({
+    *RESOURCE_ERRORS, errno.ENOSPC, errno.EAGAIN, errno.EADDRNOTAVAIL, errno.EADDRINUSE, errno.EACCES,
+    errno.EPERM, errno.ENETUNREACH, errno.ENETDOWN,
 })  # fmt: skip
 
 # recv(2), send(2): the connection is as it was, and the call may be made again.
-TRANSIENT_TRANSFER = frozenset({errno.ENOMEM, errno.ENOBUFS})
+TRANSIENT_IO_ERRORS = frozenset({errno.ENOMEM, errno.ENOBUFS})
 
 # accept(2): the connection is gone, or an error that waited on its socket is told here; the next may be well.
-NEXT_ACCEPT = frozenset({
+RETRY_ACCEPT_ERRORS = frozenset({
     errno.ECONNABORTED, errno.EINTR, errno.EPROTO, errno.EPERM, errno.ENETDOWN, errno.ENOPROTOOPT,
     errno.EHOSTDOWN, errno.ENONET, errno.EHOSTUNREACH, errno.EOPNOTSUPP, errno.ENETUNREACH, errno.ETIMEDOUT,
     errno.ECONNRESET,
--- a/covetally/net/wheel.py
+++ b/covetally/net/timer_wheel.py
@@ -12,7 +12,7 @@
 import heapq
 from collections.abc import Callable
 
-WIDTH_S = 0.002
+SLOT_WIDTH_S = 0.002
 
 
 def _nothing() -> None:
@@ -34,7 +34,7 @@
         self.call = _nothing  # whoever holds a timer of its own would make a circle with it
 
 
-class Wheel:
+class TimerWheel:
     """Timers of one event loop. All times are the loop's, in seconds."""
 
     def __init__(self) -> None:
@@ -44,8 +44,8 @@
         self._next_at = 0
 
     def call_at(self, when: float, call: Callable[[], None]) -> Timer:
-        """Call at that time or up to WIDTH_S after it, in the order of asking within a slot."""
-        number = int(when / WIDTH_S) + 1
+        """Call at that time or up to SLOT_WIDTH_S after it, in the order of asking within a slot."""
+        number = int(when / SLOT_WIDTH_S) + 1
         slot = self._slots.get(number)
         if slot is None:
             slot = self._slots[number] = {}
@@ -59,13 +59,13 @@
     def _arm(self, number: int) -> None:
         if self._next is not None:
             self._next.cancel()
-        self._next = asyncio.get_running_loop().call_at(number * WIDTH_S, self._fire)
+        self._next = asyncio.get_running_loop().call_at(number * SLOT_WIDTH_S, self._fire)
         self._next_at = number
 
     def _fire(self) -> None:
         self._next = None
         loop = asyncio.get_running_loop()
-        now = int(loop.time() / WIDTH_S + 1e-6)
+        now = int(loop.time() / SLOT_WIDTH_S + 1e-6)
         while self._order and self._order[0] <= now:
             slot = self._slots.pop(heapq.heappop(self._order))
             while slot:
--- a/covetally/net/turns.py
+++ b/covetally/net/turns.py
@@ -67,6 +67,6 @@
         Refusing alone can take all there is, so the two get the same time, as long as there is one that need not
         be refused and none has waited for an aim: that one is owed an answer first.
         """
-        now, old_ns = time.monotonic_ns(), self._sidecar.old_ns
+        now, old_ns = time.monotonic_ns(), self._sidecar.max_wait_ns
         oldest, newest = next(iter(self._waiting)), next(reversed(self._waiting))
         return now - newest.stream.received_at < old_ns and now - oldest.stream.received_at < 4 * old_ns
--- a/covetally/process.py
+++ b/covetally/process.py
@@ -26,10 +26,10 @@
 from covetally.net.discovery import Discovery
 from covetally.net.frontend import Frontend, bound
 from covetally.net.peers import Peers
-from covetally.net.seams import Claims
-from covetally.net.server_list import ListError, ListUpdate, read_list
+from covetally.net.extensions import Claims
+from covetally.net.server_list import ListError, ListUpdate, parse_list
 from covetally.net.sidecar import Sidecar
-from covetally.net.system_errors import LACKS
+from covetally.net.system_errors import RESOURCE_ERRORS
 from covetally.net.upstream import Upstream
 from covetally.signals import SignalHandlers
 
@@ -46,7 +46,9 @@
 
 TIER_MARK, TIER_LEAST = 0x54, 18  # see covetally/tier/wire.py
 WORD_MARK, WORD_LEAST = 0x57, 13  # see covetally/words/frame.py
-LISTEN_TRIES = dict.fromkeys(LACKS, 50) | {errno.EADDRINUSE: 10}  # by what failed; other errors are final
+LISTEN_TRIES = dict.fromkeys(RESOURCE_ERRORS, 50) | {
+    errno.EADDRINUSE: 10
+}  # by what failed; other errors are final
 LISTEN_PAUSE_S = 0.1
 log = logging.getLogger("covetally")
 
@@ -164,7 +166,7 @@
         await self._end()
 
     def _told_to_end(self, number: signal.Signals) -> None:
-        open_ = (self.frontend.connections, self.sidecar.open)
+        open_ = (self.frontend.connections, self.sidecar.open_requests)
         log.info("%s: %s: %d connections, %d requests under way", self.config.name, number.name, *open_)
         self.stop.set()
 
@@ -175,11 +177,11 @@
         known = ListUpdate(0, True, [])
         if config.known is not None:
             try:
-                known = read_list(config.settings, config.known)
+                known = parse_list(config.settings, config.known)
             except ListError as error:
                 log.warning("known: no usable list: %s", error)
-        self.discovery.on_list = self._listed
-        self.discovery.on_failure = lambda: self.sidecar.directory(Directory("FAILED"))
+        self.discovery.on_update = self._listed
+        self.discovery.on_failure = lambda: self.sidecar.update_servers(Directory("FAILED"))
         self.peers.on_message = self._datagram
         if config.peer_listen is not None:
             await _bind("peer_listen", lambda: self.peers.listen(config.peer_listen))
@@ -222,14 +224,14 @@
                 tries += 1
                 if tries >= LISTEN_TRIES.get(error.errno or 0, 1):
                     raise ConfigError(f"listen: {error}") from None
-                level = logging.WARNING if error.errno in LACKS else logging.DEBUG
+                level = logging.WARNING if error.errno in RESOURCE_ERRORS else logging.DEBUG
                 log.log(level, "cannot listen yet: %s", error)
             await asyncio.sleep(LISTEN_PAUSE_S)
 
     def _apply_update(self, news: ListUpdate, scope: str) -> None:
         # Upstream first: the module may submit to a server in the same breath as it hears of it.
-        self.upstream.update(news.entries, news.whole)
-        self.sidecar.directory(Directory(scope, tuple(entry for entry, _ in news.entries)))
+        self.upstream.update(news.entries, news.full)
+        self.sidecar.update_servers(Directory(scope, tuple(entry for entry, _ in news.entries)))
         if self.tier is not None:
             self.tier.listed(self.sidecar.zones())
 
@@ -242,7 +244,7 @@
         elif self.spoken is not None and len(data) >= WORD_LEAST and data[0] == WORD_MARK:
             self.spoken.heard(sender, data)
         else:
-            self.sidecar.heard(data)
+            self.sidecar.receive_gossip(data)
 
     def _retier(self) -> None:
         """Take part in the tier as is wanted now."""
@@ -256,7 +258,7 @@
         else:
             from covetally.tier.shell import Parts, Shell
 
-            parts = Parts(self.clock.now, self.peers.send, self.sidecar.advise, self.sidecar.demand)
+            parts = Parts(self.clock.now, self.peers.send, self.sidecar.handle_event, self.sidecar.demand)
             life, seed = secrets.randbits(32), self.config.seed
             self.tier = Shell(plan.me, plan.size, life, seed, plan.site, plan.held, parts)
             self.sidecar.on_attempt = self.tier.outcome
@@ -293,7 +295,7 @@
         parts = Parts(
             self.clock, self.discovery,
             lambda entries: self._apply_update(ListUpdate(0, False, entries), "INCREMENTAL"),
-            self.sidecar.beliefs, self.sidecar.suspect,
+            self.sidecar.beliefs, self.sidecar.report_unresponsive,
         )  # fmt: skip
         roster = Roster(plan, self.config.settings, parts)
         self.sidecar.on_outcome = roster.outcome
@@ -307,15 +309,15 @@
         elif plan is not None:
             self.discovery.stop()
             self.roster = self._made(plan)
-            self.roster.begin(self.upstream.roster(), {b.server for b in self.sidecar.beliefs() if b.up})
+            self.roster.begin(self.upstream.addresses(), {b.server for b in self.sidecar.beliefs() if b.up})
             self.roster.start()
             if self.manager is not None:
                 self.roster.order(self.manager.orders.roster.value)
         elif self.roster is not None:
             self.roster.stop()
             self.roster = self.sidecar.on_outcome = None
-            self.discovery.on_list = self._listed
-            self.discovery.again()
+            self.discovery.on_update = self._listed
+            self.discovery.restart()
 
     async def roster_table(self) -> dict[str, Any]:
         """What is believed of the list of nodes and why, for operators."""
@@ -324,12 +326,12 @@
         up = {b.server for b in self.sidecar.beliefs() if b.up}
         nodes = [
             {"node": name, "address": "{}:{}".format(*address), "state": "up" if name in up else "leaving"}
-            for name, address in sorted(self.upstream.roster())
+            for name, address in sorted(self.upstream.addresses())
         ]
         return {"level": "direct", "why": "the platform's list, believed at once", "nodes": nodes}
 
     def _listed(self, news: ListUpdate) -> None:
-        self._apply_update(news, "FULL" if news.whole else "INCREMENTAL")
+        self._apply_update(news, "FULL" if news.full else "INCREMENTAL")
 
     def _subscribe(self) -> None:
         if self.roster is None or self.roster.asks_platform:
@@ -378,13 +380,13 @@
 
     def _adopt(self) -> None:
         self.config = config = self.configuration.config
-        self.discovery.move(config.discovery)
-        self.peers.move(config.peers, config.peers_all)
+        self.discovery.set_address(config.discovery)
+        self.peers.set_peers(config.peers, config.peers_all)
         self._retier()
         self._respeak()
-        self.sidecar.retune(config.settings)
+        self.sidecar.apply_settings(config.settings)
         self.sidecar.tracing = log.isEnabledFor(logging.DEBUG)
-        self.upstream.retune(config.settings, config.server_connections)
+        self.upstream.apply_settings(config.settings, config.server_connections)
         self.frontend.retune(config.settings, config.client_connections, config.body_memory)
         self._rewire()
 
--- a/covetally/spoken.py
+++ b/covetally/spoken.py
@@ -51,7 +51,7 @@
         if (plan := configuration.overload) is not None:
             speakers[Part.LINE] = self._with_line(now, plan, configuration.config.settings)
         elif self._line is not None:
-            self._line = self._sidecar.watcher = None
+            self._line = self._sidecar.observer = None
             self._pin = ""
         if (caps := configuration.caps) is not None:
             speakers[Part.CAPS] = self._with_caps(now, caps, configuration.config.settings)
@@ -73,7 +73,7 @@
         if line is None:
             seed = secrets.randbits(64)
             line = Member(plan.me, plan.size, self._life, seed, now, settings, plan.policy)
-            self._line = self._sidecar.watcher = line
+            self._line = self._sidecar.observer = line
         if plan.size != line.size:
             line.resize(plan.size)
         line.policy = plan.policy
@@ -85,7 +85,7 @@
         return line
 
     def _advise(self, event: Event) -> None:
-        self._sidecar.advise(event)
+        self._sidecar.handle_event(event)
         line = self._line
         if line is None or line.line.rung == self._rung:
             return
@@ -101,7 +101,7 @@
         self._marks = {cap.tenant: cap.rule.mark for cap in plan.caps if cap.kind == CLIENT}
         nodes = {cap.tenant for cap in plan.caps if cap.kind == NODE}
         for tenant in self._nodes - nodes:
-            self._sidecar.advise(Allotted(tenant, True, None))
+            self._sidecar.handle_event(Allotted(tenant, True, None))
         self._nodes = nodes
         if self._caps is None:
             self._gate = Gate(self._clock.now, self._usable, min(c.aim_ns for c in settings.classes))
@@ -114,7 +114,7 @@
 
     def _without_caps(self, now: int) -> None:
         for tenant in self._nodes:
-            self._sidecar.advise(Allotted(tenant, True, None))
+            self._sidecar.handle_event(Allotted(tenant, True, None))
         self._caps = self._gate = self._frontend.gate = None
         self._nodes, self._marks = set(), {}
 
@@ -143,7 +143,7 @@
         """Take no part any more: what is held goes back."""
         if self.shell is not None:
             self.shell.stop()
-        self.shell = self._line = self._sidecar.watcher = None
+        self.shell = self._line = self._sidecar.observer = None
         if self._caps is not None:
             self._without_caps(self._clock.now())
         self._pin = ""
--- a/covetally/websocket/hub.py
+++ b/covetally/websocket/hub.py
@@ -15,10 +15,10 @@
 from typing import Any
 
 from covetally.interface import Settings
-from covetally.net.seams import Upgrade
+from covetally.net.extensions import Upgrade
 from covetally.net.message import Answer, Headers, Malformed, RequestHead, encode
-from covetally.net.sidecar import Arrival, Sidecar
-from covetally.net.wheel import Timer
+from covetally.net.sidecar import RequestInfo, Sidecar
+from covetally.net.timer_wheel import Timer
 from covetally.websocket import handshake
 from covetally.websocket.frames import GOING_AWAY, RESTART, Limits
 from covetally.websocket.policy import Policy
@@ -109,7 +109,7 @@
         ttl_ns = max(1, min(cls.deadline_ns, route.handshake_ns, wanted_ns if wanted_ns > 0 else cls.deadline_ns))
         place = self._tenants.get(fields.get(b"x-customer", b""), route.tenant)
         tenant = self._settings.tenants[place].name if place >= 0 else ""
-        arrival = Arrival(number, ttl_ns, tenant=place, upgrade=True)
+        arrival = RequestInfo(number, ttl_ns, tenant=place, upgrade=True)
         return Upgrade(headers, arrival, trace_id, _Asked(asked, route, tenant), asked)
 
     def admit(self, upgrade: Upgrade) -> Answer | None:
@@ -153,7 +153,7 @@
         if self._listed.get(node.name) != "up":  # it was told to leave while the handshake was out
             self.policy.leave(now, node.name, "drain" if node.name in self._listed else "gone")
         self.policy.opened(now, self._serial, node.name, asked.tenant)
-        self._sidecar.holds(node.name, 1)
+        self._sidecar.adjust_held_connections(node.name, 1)
         relay = self._open[self._serial] = Relay(
             self._serial, node.name, asked.tenant, client, (node.sock, node.early), terms, self._wheel,
             self._rng.random(), self._ended, self._hung,
@@ -171,7 +171,7 @@
     def _ended(self, relay: Relay, ending: Ending) -> None:
         del self._open[relay.id]
         self.policy.ended(relay.id)
-        self._sidecar.holds(relay.node, -1)
+        self._sidecar.adjust_held_connections(relay.node, -1)
         self.ended[ending.why] += 1
         for side, sent, got in zip(("client", "node"), ending.sent, ending.got, strict=True):
             self.codes[f"to the {side} {sent or 'none'}"] += 1
@@ -193,7 +193,7 @@
         )  # fmt: skip
         if self.policy.stalled(self._loop.time(), relay.node, others):
             log.warning("node %s is silent on its sockets: no new work but trials", relay.node)
-            self._sidecar.suspect(relay.node)
+            self._sidecar.report_unresponsive(relay.node)
 
     # --- nodes ----------------------------------------------------------------------------------
 
--- a/covetally/websocket/relay.py
+++ b/covetally/websocket/relay.py
@@ -23,7 +23,7 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from covetally.net.wheel import Timer, Wheel
+from covetally.net.timer_wheel import Timer, TimerWheel
 from covetally.websocket.frames import (
     GOING_AWAY,
     INTERNAL,
@@ -118,7 +118,7 @@
 
     def __init__(
         self, id: int, node: str, tenant: str, client: tuple[socket.socket, bytes],
-        server: tuple[socket.socket, bytes], terms: Terms, wheel: Wheel, luck: float,
+        server: tuple[socket.socket, bytes], terms: Terms, wheel: TimerWheel, luck: float,
         ended: Callable[[Relay, Ending], None], hung: Callable[[Relay], None],
     ) -> None:  # fmt: skip
         self.id, self.node, self.tenant = id, node, tenant
--- a/tests/crossings/test_ending.py
+++ b/tests/crossings/test_ending.py
@@ -65,7 +65,7 @@
             held = [await here.connect() for _ in range(2)]
             for number, (_, writer) in enumerate(held):
                 writer.write(request(f"held{number}", expires="5"))
-            await until(lambda: here.sidecar.open == 2)
+            await until(lambda: here.sidecar.open_requests == 2)
             waiting = asyncio.create_task(here.status(request("waits", expires="5")))
             await asyncio.sleep(0.05)
             assert here.frontend.connections == 2
--- a/tests/crossings/test_leaving.py
+++ b/tests/crossings/test_leaving.py
@@ -146,12 +146,12 @@
     if state == "settling":
         monkeypatch.setattr(upstream, "SETTLE_S", 0.3)
     else:
-        monkeypatch.setattr(upstream, "WARY_HOLD_BACK_S", 0.3)
+        monkeypatch.setattr(upstream, "DISTRUST_LAST_BYTE_DELAY_S", 0.3)
 
     async def main():
         async with place(fine) as here:
             assert await here.status(request("one")) == 200
-            here.upstream.broke()
+            here.upstream.record_broken_idle()
             asks = client(here)
             asks.send(request("gone"))
             await until(lambda: here.sidecar._calls)
--- a/tests/crossings/test_list.py
+++ b/tests/crossings/test_list.py
@@ -10,7 +10,7 @@
 import pytest
 
 from covetally.interface import Directory
-from covetally.net import asking
+from covetally.net import discovery_schedule
 from covetally.net.discovery import Discovery
 from covetally.net.server_list import ListUpdate
 from covetally.policy.roster import ASK_GAP
@@ -30,10 +30,12 @@
 
 def test_the_time_until_news_is_told_has_room_for_what_may_fail_on_the_way():
     """Where lists are asked for: a silent call, the longest pause, a refused call, the longest pause."""
-    silent = asking.call(False, True, True).within_s
-    assert silent + 2 * LONGEST_S < asking.SILENCE_S
-    watch = asking.call(False, True, False).within_s
-    assert watch + LONGEST_S < asking.SILENCE_S, "and a watch that falls silent, then a refused call"
+    silent = discovery_schedule.next_call(False, True, True).timeout_s
+    assert silent + 2 * LONGEST_S < discovery_schedule.NOTIFIED_AFTER_SILENCE_S
+    watch = discovery_schedule.next_call(False, True, False).timeout_s
+    assert watch + LONGEST_S < discovery_schedule.NOTIFIED_AFTER_SILENCE_S, (
+        "and a watch that falls silent, then a refused call"
+    )
 
 
 @pytest.mark.parametrize("must_ask_s", [2, 10, 120])
@@ -77,14 +79,14 @@
             await server.start()
             told: list[tuple[float, ListUpdate]] = []
             discovery = Discovery(here.sidecar._balancer.book.settings, server.address)
-            discovery.on_list = lambda news: (
+            discovery.on_update = lambda news: (
                 told.append((time.monotonic(), news)),
-                here.sidecar.directory(Directory("FULL", tuple(entry for entry, _ in news.entries))),
+                here.sidecar.update_servers(Directory("FULL", tuple(entry for entry, _ in news.entries))),
             )
-            discovery.on_failure = lambda: here.sidecar.directory(Directory("FAILED"))
+            discovery.on_failure = lambda: here.sidecar.update_servers(Directory("FAILED"))
             here.sidecar._subscribe = discovery.subscribe
             here.balancer.book.random = lambda: 0.999
-            here.sidecar.directory(Directory("FAILED"))
+            here.sidecar.update_servers(Directory("FAILED"))
             await until(lambda: told)
             state["ok"] = False
             if failure == "refused":
@@ -109,12 +111,12 @@
 def test_an_agent_that_was_silent_is_looked_at_again_within_the_drain_grace(grace_s):
     """Every 0.35 s came too late where the settings give a quarter of a second."""
     for known in (False, True):
-        look = asking.call(True, known, True, grace_s)
-        assert look == asking.call(True, False, True, grace_s)._replace(wait_ms=look.wait_ms)
+        look = discovery_schedule.next_call(True, known, True, grace_s)
+        assert look == discovery_schedule.next_call(True, False, True, grace_s)._replace(wait_ms=look.wait_ms)
         slack_s = 0.05  # the protocol's on each time limit
-        assert asking.noticed_s(look, grace_s) <= grace_s + slack_s
-    first = asking.call(True, False, False, grace_s)
-    assert first == asking.call(True, False, True, grace_s), "the first one too"
+        assert discovery_schedule.detection_s(look, grace_s) <= grace_s + slack_s
+    first = discovery_schedule.next_call(True, False, False, grace_s)
+    assert first == discovery_schedule.next_call(True, False, True, grace_s), "the first one too"
 
 
 def test_a_first_call_that_stays_silent_does_not_hide_the_agent_s_return():
@@ -133,7 +135,7 @@
             await server.start()
             told: list[float] = []
             discovery = Discovery(here.sidecar._balancer.book.settings, server.address)
-            discovery.on_list = lambda news: told.append(time.monotonic())
+            discovery.on_update = lambda news: told.append(time.monotonic())
             discovery.on_failure = lambda: None
             discovery.start()
             await until(lambda: server.got)
@@ -172,7 +174,7 @@
             await server.start()
             told: list[ListUpdate] = []
             discovery = Discovery(here.sidecar._balancer.book.settings, server.address)
-            discovery.on_list = told.append
+            discovery.on_update = told.append
             discovery.start()
             await until(lambda: told)
             await asyncio.sleep(1.0)
--- a/tests/incidents/test_guards.py
+++ b/tests/incidents/test_guards.py
@@ -45,7 +45,7 @@
         async with place(wait) as here:
             for reason in (CloseReason.CLIENT_LEFT, CloseReason.IDLE):
                 asks = asyncio.create_task(here.status(request(reason.value)))
-                await until(lambda: here.sidecar.open == 1)
+                await until(lambda: here.sidecar.open_requests == 1)
                 (client,) = here.frontend._clients
                 client.close(reason)
                 assert await asks == 0
--- a/tests/incidents/test_slow_discovery.py
+++ b/tests/incidents/test_slow_discovery.py
@@ -8,7 +8,7 @@
 import asyncio
 import time
 
-from covetally.net import asking
+from covetally.net import discovery_schedule
 from covetally.rig.account import SECOND
 from covetally.rig.load import Load, Plan
 from covetally.rig.site import LOAD_CLASSES, TENANTS
@@ -17,8 +17,8 @@
 
 RATE = 80
 SLACK_S = 0.3  # for a loaded machine
-LOOK_S = asking.call(pushed=True, known=False, failing=False).within_s
-TURN_S = asking.call(pushed=False, known=False, failing=False).within_s
+LOOK_S = discovery_schedule.next_call(pushed=True, known=False, failing=False).timeout_s
+TURN_S = discovery_schedule.next_call(pushed=False, known=False, failing=False).timeout_s
 # Whether lists are pushed, how late each answer comes, how long discovery is silent at first.
 CASES = [
     (True, 1.1 * LOOK_S, 0.0), (True, 2.0 * LOOK_S, 0.0), (True, 10.0 * LOOK_S, 0.0), (False, 1.1 * TURN_S, 0.0),
@@ -40,10 +40,12 @@
         world.discovery.command(late=late_s)
         world.discovery.command(silent=silent_s > 0)
         await world.start_instances()
-        known_s = late_s if pushed else asking.SILENCE_S
+        known_s = late_s if pushed else discovery_schedule.NOTIFIED_AFTER_SILENCE_S
         if silent_s:
-            known_s += silent_s + asking.KEEP_LOOK_S / asking.MOST_KEPT + LOOK_S
-        limit_ns = time.monotonic_ns() + int((known_s + asking.GRACE_S + SLACK_S) * SECOND)
+            known_s += (
+                silent_s + discovery_schedule.KEEP_OPEN_PUSHED_S / discovery_schedule.MAX_KEPT_CALLS + LOOK_S
+            )
+        limit_ns = time.monotonic_ns() + int((known_s + discovery_schedule.DRAIN_GRACE_S + SLACK_S) * SECOND)
         plan = Plan(LOAD_CLASSES, TENANTS, ("a0",), rate=RATE, seconds=known_s + 3.0, seed=7)
         load = Load(world.account, {"a0": instance.address}, plan, world.alive)
         played = asyncio.create_task(load.play(plan.draw()))
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -109,7 +109,7 @@
     def tell(self, servers: dict[str, Server], scope: str = "FULL", lifecycle: str = "up") -> None:
         entries = [(Entry(name, lifecycle=lifecycle), s.address) for name, s in servers.items()]
         self.upstream.update(entries, scope == "FULL")
-        self.sidecar.directory(Directory(scope, tuple(entry for entry, _ in entries)))
+        self.sidecar.update_servers(Directory(scope, tuple(entry for entry, _ in entries)))
 
     async def connect(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
         return await asyncio.open_connection(*self.address)
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -63,7 +63,7 @@
             status = await here.status(data)
             assert 400 <= status < 600, name
             assert not here.servers["s0"].got, "nothing of it may be passed on"
-            assert here.sidecar._taken == 0
+            assert here.sidecar._accepted == 0
             assert await here.status(request("after")) == 200
 
     asyncio.run(main())
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -130,16 +130,16 @@
                 pass
             assert time.monotonic() - start > 0.3, "a burst is served"
             assert b"retry-after: 0.700" in got.lower()
-            read = here.sidecar._taken
+            read = here.sidecar._accepted
             while here.frontend.shed < 3:
                 await ask()
             again = await ask(more="X-Second-Try: 1\r\n")
             assert again.startswith(b"HTTP/1.1 503"), "whoever comes again is refused"
             for more in ({"cls": "pay"}, {"more": "Connection: keep-alive\r\n"}):
-                shed, taken = here.frontend.shed, here.sidecar._taken
+                shed, taken = here.frontend.shed, here.sidecar._accepted
                 await ask(**more)
-                assert (here.frontend.shed, here.sidecar._taken) == (shed, taken + 1), "read as ever"
-            assert here.sidecar._taken - read < 40, "some were refused unread"
+                assert (here.frontend.shed, here.sidecar._accepted) == (shed, taken + 1), "read as ever"
+            assert here.sidecar._accepted - read < 40, "some were refused unread"
             writer.write(request(trace()))
             assert (await read_message(reader)).startswith(b"HTTP/1.1 200"), "one read promptly is served"
             writer.close()
@@ -179,7 +179,7 @@
 
     async def main():
         async with place(fine, clients=200, sockets=200) as here:
-            order, take, loop = [], here.sidecar.take, asyncio.get_running_loop()
+            order, take, loop = [], here.sidecar.accept, asyncio.get_running_loop()
 
             def taking(*words):
                 if not order:
@@ -188,7 +188,7 @@
                 time.sleep(0.002)  # so that a turn holds but a few
                 return take(*words)
 
-            here.sidecar.take = taking
+            here.sidecar.accept = taking
             trace = traces()
             streams = [await here.connect() for _ in range(60)]
             await until(lambda: len(here.frontend._clients) == 60)
@@ -221,7 +221,7 @@
             kept = await here.connect()
             kept[1].write(request("kept"))
             await read_message(kept[0])
-            taken = here.sidecar._taken
+            taken = here.sidecar._accepted
             kept[1].write(request("left"))
             kept[1].get_extra_info("socket").shutdown(socket.SHUT_WR)
             for number in range(5):
@@ -229,7 +229,7 @@
                     client.sendall(request(f"gone{number}"))
             assert await here.status(request("after")) == 200
             await until(lambda: not here.frontend._clients)
-            assert here.sidecar._taken == taken + 1
+            assert here.sidecar._accepted == taken + 1
             assert len(here.servers["s0"].got) == 2
 
     asyncio.run(main())
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -53,7 +53,7 @@
             assert (server.k, server.inflight) == (1, 0)
             here.servers["s0"].script = fine
             assert (await here.ask(request("next"))).endswith(b"for next")
-            assert here.upstream._open == 1, "the spoilt connection is gone"
+            assert here.upstream._open_count == 1, "the spoilt connection is gone"
 
     asyncio.run(main())
 
@@ -200,12 +200,12 @@
 
 
 def test_while_kept_connections_break_the_last_byte_waits_for_a_sign(monkeypatch):
-    monkeypatch.setattr(upstream, "WARY_HOLD_BACK_S", 5.0)  # it ends with the sign
+    monkeypatch.setattr(upstream, "DISTRUST_LAST_BYTE_DELAY_S", 5.0)  # it ends with the sign
 
     async def main():
         async with place(break_next) as here:
             assert await here.status(request("a")) == 200
-            here.upstream._wary_until = asyncio.get_running_loop().time() + 60.0
+            here.upstream._distrust_until = asyncio.get_running_loop().time() + 60.0
             for trace in ("b", "c"):
                 assert (await here.ask(request(trace, cls="pay"))).endswith(b"for " + trace.encode())
             assert here.servers["s0"].connections == 3, "the same attempt went on a new connection"
@@ -234,9 +234,9 @@
     async def main():
         async with place(break_next) as here:
             assert await here.status(request("a")) == 200
-            assert here.upstream.hold_back_s(0.0) == 0.0
+            assert here.upstream.last_byte_delay_s(0.0) == 0.0
             assert await here.status(request("b", cls="pay")) in (200, 502)
-            assert here.upstream.hold_back_s(0.0) == upstream.WARY_HOLD_BACK_S
+            assert here.upstream.last_byte_delay_s(0.0) == upstream.DISTRUST_LAST_BYTE_DELAY_S
 
     asyncio.run(main())
 
@@ -301,7 +301,7 @@
                 for trace in ("a", "b", "c"):
                     writer.write(request(trace, cls="pay"))
                     assert b" 503 " in await read_message(reader), "it never ran"
-            assert here.upstream._open == 0
+            assert here.upstream._open_count == 0
             writer.close()
 
     asyncio.run(main())
@@ -334,7 +334,7 @@
                 assert await here.status(request(new())) == 200
             assert set(here.balancer.book.servers) == {"n29"}
             assert set(here.upstream._servers) == {"n29"}
-            assert here.upstream._open == 1
+            assert here.upstream._open_count == 1
             assert not here.balancer.book.attempts
             assert not here.balancer.book.calls
             assert not here.sidecar._calls
@@ -354,7 +354,7 @@
 
 def test_a_connection_that_lacks_the_end_of_a_request_carries_no_other(monkeypatch):
     """The server turned it away before its last byte was written: the next one would be read as its rest."""
-    monkeypatch.setattr(upstream, "WARY_HOLD_BACK_S", 5.0)  # it ends with the sign
+    monkeypatch.setattr(upstream, "DISTRUST_LAST_BYTE_DELAY_S", 5.0)  # it ends with the sign
 
     async def turn_away_early(server, got, reader, writer):
         await fine(server, got, reader, writer)
@@ -365,11 +365,11 @@
     async def main():
         async with place(turn_away_early) as here:
             assert await here.status(request("a")) == 200
-            here.upstream._wary_until = asyncio.get_running_loop().time() + 60.0
+            here.upstream._distrust_until = asyncio.get_running_loop().time() + 60.0
             assert (await here.ask(request("b", cls="pay"))).endswith(b"for b")
             server = here.servers["s0"]
             assert (server.connections, len(server.got)) == (2, 2)
-            assert here.upstream._open == 1, "the first one is closed"
+            assert here.upstream._open_count == 1, "the first one is closed"
 
     asyncio.run(main())
 
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -14,7 +14,7 @@
 
 import pytest
 
-from covetally.net import asking
+from covetally.net import discovery_schedule
 from covetally.rig.account import SECOND
 from covetally.rig.discovery import STYLES
 from covetally.rig.load import Load, Plan
@@ -38,10 +38,10 @@
     after_s: float = 0.0
 
 
-WATCH = asking.noticed_s(asking.call(True, True, False))
-LOOK = asking.noticed_s(asking.call(True, True, True))
+WATCH = discovery_schedule.detection_s(discovery_schedule.next_call(True, True, False))
+LOOK = discovery_schedule.detection_s(discovery_schedule.next_call(True, True, True))
 ROWS = [
-    Row("drop", True, asking.SILENCE_S),
+    Row("drop", True, discovery_schedule.NOTIFIED_AFTER_SILENCE_S),
     Row("503", True, 0.0, 0.3, 0.3),
     Row("reset", True, 0.0, 0.3, 0.3),
     Row("cut", True, 0.0, 0.0, 0.3),
@@ -52,25 +52,27 @@
     Row("restart", True, 0.0),
     Row("end", True, 0.0, 0.3, 0.3),
     Row("brief", True, 0.0),
-    Row("drop", False, asking.SILENCE_S),
+    Row("drop", False, discovery_schedule.NOTIFIED_AFTER_SILENCE_S),
     # Refused for so long that the pauses between calls are as long as they get.
-    Row("503", False, asking.SILENCE_S, 4.0, 0.3),
-    Row("end", False, asking.SILENCE_S, 0.3, 0.3),
+    Row("503", False, discovery_schedule.NOTIFIED_AFTER_SILENCE_S, 4.0, 0.3),
+    Row("end", False, discovery_schedule.NOTIFIED_AFTER_SILENCE_S, 0.3, 0.3),
     Row("brief", False, 0.0),
-    Row("cut", False, asking.SILENCE_S, 0.0, 0.3),
+    Row("cut", False, discovery_schedule.NOTIFIED_AFTER_SILENCE_S, 0.0, 0.3),
     Row("indented", False, 0.0),
-    Row("outage", False, asking.SILENCE_S, WATCH + 0.5, 0.4),
-    Row("restart", False, asking.SILENCE_S),
+    Row("outage", False, discovery_schedule.NOTIFIED_AFTER_SILENCE_S, WATCH + 0.5, 0.4),
+    Row("restart", False, discovery_schedule.NOTIFIED_AFTER_SILENCE_S),
 ]
 
 
 def test_every_row_is_held_by_arithmetic():
     """From the fall into silence until a new call is out, and after an outage until the agent is looked at."""
-    assert asking.SILENCE_S - WATCH > 2.0
-    assert LOOK < asking.GRACE_S
-    first = asking.call(True, False, False)
-    assert asking.noticed_s(first) < 4.0, "after SIGHUP"
-    assert asking.noticed_s(asking.call(False, True, False)) == WATCH, "what all sidecars ask is watched alike"
+    assert discovery_schedule.NOTIFIED_AFTER_SILENCE_S - WATCH > 2.0
+    assert LOOK < discovery_schedule.DRAIN_GRACE_S
+    first = discovery_schedule.next_call(True, False, False)
+    assert discovery_schedule.detection_s(first) < 4.0, "after SIGHUP"
+    assert discovery_schedule.detection_s(discovery_schedule.next_call(False, True, False)) == WATCH, (
+        "what all sidecars ask is watched alike"
+    )
 
 
 @pytest.mark.parametrize("row", ROWS, ids=lambda row: f"{'pushed' if row.pushed else 'asked'}-{row.name}")
@@ -82,14 +84,14 @@
                 instance.config["settings"]["discovery"] = "subscribe"
                 instance.config["settings"]["invariants"]["mustAskInNs"] = int(MUST_ASK_S * SECOND)
             await world.start_instances()
-            rest_s = row.before_s + row.after_s + row.told_s + asking.GRACE_S + SLACK_S
+            rest_s = row.before_s + row.after_s + row.told_s + discovery_schedule.DRAIN_GRACE_S + SLACK_S
             plan = Plan(LOAD_CLASSES, TENANTS, ("a0",), rate=RATE, seconds=rest_s + 2.5, seed=5)
             load = Load(world.account, {"a0": instance.address}, plan, world.alive)
             played = asyncio.create_task(load.play(plan.draw()))
             await until(lambda: all(node.seen["arrived"] for node in world.nodes.values()))
             counts_ns = await hinder(world, row)
             await played
-            late_ns = counts_ns + int((row.told_s + asking.GRACE_S + SLACK_S) * SECOND)
+            late_ns = counts_ns + int((row.told_s + discovery_schedule.DRAIN_GRACE_S + SLACK_S) * SECOND)
             sent = [a for arrivals in world.account.arrivals.values() for a in arrivals]
             assert any(a.node != "n1" and a.began_ns > late_ns - SECOND for a in sent), "load to the end"
             assert [a for a in sent if a.node == "n1" and a.began_ns > late_ns] == []
--- a/tests/test_wheel.py
+++ b/tests/test_timer_wheel.py
@@ -9,7 +9,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from covetally.net.wheel import WIDTH_S, Wheel
+from covetally.net.timer_wheel import SLOT_WIDTH_S, TimerWheel
 from tests.loopback import fine, place, read_message, request
 
 CALLS = 128  # of functions of this program, for one request on kept connections; 122.1 when this was written
@@ -19,7 +19,7 @@
 @settings(max_examples=15, deadline=None, derandomize=True)
 def test_nothing_fires_early_or_twice_or_after_its_cancel(delays):
     async def main():
-        wheel, loop, fired = Wheel(), asyncio.get_running_loop(), []
+        wheel, loop, fired = TimerWheel(), asyncio.get_running_loop(), []
         start = loop.time()
         timers = [
             wheel.call_at(start + delay, lambda n=n: fired.append((n, loop.time())))
@@ -33,10 +33,10 @@
         async with asyncio.timeout(10):
             while {n for n, _ in fired} < wanted:
                 await asyncio.sleep(0.001)
-        await asyncio.sleep(2 * WIDTH_S)
+        await asyncio.sleep(2 * SLOT_WIDTH_S)
         assert sorted(n for n, _ in fired) == sorted(wanted)
         assert all(at >= start + delays[n][0] for n, at in fired)
-        slots = [int((start + delays[n][0]) / WIDTH_S) for n, _ in fired]
+        slots = [int((start + delays[n][0]) / SLOT_WIDTH_S) for n, _ in fired]
         assert slots == sorted(slots), "in the order of their slots"
 
     asyncio.run(main())
@@ -46,7 +46,7 @@
     async def main():
         told, fired, loop = [], asyncio.Event(), asyncio.get_running_loop()
         loop.set_exception_handler(lambda _, context: told.append(context["message"]))
-        wheel, now = Wheel(), loop.time()
+        wheel, now = TimerWheel(), loop.time()
         wheel.call_at(now, lambda: 1 // 0)
         wheel.call_at(now, fired.set)
         async with asyncio.timeout(10):
@@ -58,7 +58,7 @@
 
 def test_timers_set_and_cancelled_from_within_a_timer():
     async def main():
-        wheel, loop, fired, done = Wheel(), asyncio.get_running_loop(), [], asyncio.Event()
+        wheel, loop, fired, done = TimerWheel(), asyncio.get_running_loop(), [], asyncio.Event()
         now = loop.time()
         later = wheel.call_at(now, lambda: fired.append("cancelled"))
 
--- a/tests/websocket/test_sockets.py
+++ b/tests/websocket/test_sockets.py
@@ -167,7 +167,7 @@
         async with sockets(node) as here:
             answered = await here.status(ask("X-Expires-In: 0.4\r\n"))
             assert answered == want
-            await until(lambda: not here.sidecar.open)
+            await until(lambda: not here.sidecar.open_requests)
             assert here.hub.policy.counts() == {"nodes": {}, "tenants": {}}
             assert here.hub.count == 0
 
