--- a/covetally/net/async_connection.py
+++ b/covetally/net/async_connection.py
@@ -1,4 +1,5 @@
-"""A stream for coroutines: for calls that are few and need not be cheap. The request path does without."""
+"""A connection to a server for coroutines. It serves calls that are rare and need not be cheap; the request path
+uses callbacks instead."""
 
 from __future__ import annotations
 
@@ -12,7 +13,7 @@
 
 
 class AsyncConnection:
-    """One connection to a server. One coroutine at a time reads or writes."""
+    """One connection to a server. Only one coroutine at a time may read or write."""
 
     def __init__(self, sock: socket.socket) -> None:
         self._stream = Stream(httptools.HttpResponseParser, sock, self._wake, self._wake)
@@ -20,7 +21,7 @@
 
     @classmethod
     async def connect(cls, address: tuple[str, int]) -> AsyncConnection:
-        """A new connection; OSError when it does not come up."""
+        """Opens a connection; raises OSError if it cannot be established."""
         sock = unconnected(address)
         try:
             await asyncio.get_running_loop().sock_connect(sock, address)
@@ -33,7 +34,8 @@
         if self._waiter is not None and not self._waiter.done():
             self._waiter.set_result(None)
 
-    async def _news(self) -> None:
+    async def _wait(self) -> None:
+        """Waits for the next event of the stream."""
         self._waiter = asyncio.get_running_loop().create_future()
         try:
             await self._waiter
@@ -41,28 +43,29 @@
             self._waiter = None
 
     async def next_event(self) -> Event:
-        """The next part of the server's message; Malformed if it is none, Broken if the connection was lost."""
+        """Returns the next part of the server's message; raises Malformed if it is not valid HTTP, Broken if the
+        connection was lost."""
         while not (parts := self._stream.parts()):
-            await self._news()
+            await self._wait()
         return parts.popleft()
 
     async def write(self, data: bytes) -> None:
-        """Return once the kernel has all of `data`; Broken if it cannot have it."""
-        whole = self._stream.send(data)
-        while not whole:
-            await self._news()
+        """Returns once the kernel has taken all of `data`; raises Broken if the connection was lost before."""
+        written = self._stream.send(data)
+        while not written:
+            await self._wait()
             if self._stream.lost:
                 raise Broken("connection lost while writing")
-            whole = self._stream.written
+            written = self._stream.written
 
     def disturbed(self) -> bool:
-        """Whether anything came, or the end, where nothing was asked for."""
+        """Returns whether unexpected bytes or the end of the connection have arrived."""
         return self._stream.disturbed()
 
     def recycle(self) -> bool:
-        """Make ready for the next message; False if this connection must not carry one."""
+        """Prepares for the next message; returns False if this connection must not carry another one."""
         return self._stream.recycle()
 
     def close(self) -> None:
-        """Close at once."""
+        """Closes the connection immediately."""
         self._stream.abort()
--- a/covetally/net/attempt.py
+++ b/covetally/net/attempt.py
@@ -186,7 +186,7 @@
         look at a connection that was found in order just now."""
         self._pause = None
         left_ns = self._bounds.abandon_ns - self._owner.clock.now()
-        if left_ns < LEAST_LEFT_NS or not self._bounds.wanted():
+        if left_ns < LEAST_LEFT_NS or not self._bounds.client_connected():
             self._end(How.MOOT)  # this process is late, or nobody is left to have the answer
             return
         data = self._request.encode(left_ns / 1e9)
--- a/covetally/net/budget.py
+++ b/covetally/net/budget.py
@@ -1,49 +1,51 @@
-"""The memory that request bodies may take, all together."""
+"""Limits the memory that all request bodies may take together."""
 
 from __future__ import annotations
 
-SMALL = 4 * 1024  # bodies up to this size need no part of the pool: connections bound their number
+SMALL_BODY = 4 * 1024  # bytes; smaller bodies are not counted, because the connection limit bounds their number
 
 
 class BudgetExhausted(Exception):
-    """There is no memory left for this body."""
+    """There is no memory left for a body."""
 
 
 class BodyBudget:
     """A shared pool of bytes.
 
-    Nobody waits for it: half-read bodies that wait for each other would hold it for good. Who finds it empty
-    is refused, and may come again.
+    Nothing waits for memory: partly read bodies that wait for each other would hold the pool for ever. A request
+    that finds the pool empty is refused, and its client may retry.
     """
 
     def __init__(self, pool: int) -> None:
         self._pool = self.free = pool
 
     def resize(self, pool: int) -> None:
-        """Be so large from here on. What is held stays held: a smaller pool lets nobody in until enough of it
-        has come back."""
+        """Changes the size of the pool.
+
+        Reservations are kept, so after a reduction no new body is admitted until enough memory has been released.
+        """
         self.free += pool - self._pool
         self._pool = pool
 
 
 class BodyReservation:
-    """One body's part of the budget."""
+    """The part of the budget that one body holds."""
 
     def __init__(self, budget: BodyBudget) -> None:
         self._budget = budget
         self._size = 0
-        self._taken = 0
+        self._reserved = 0
 
     def grow(self, size: int) -> None:
-        """Hold so many further bytes; BudgetExhausted if the pool has not got them."""
+        """Reserves `size` further bytes; raises BudgetExhausted if the pool does not have them."""
         self._size += size
-        more = self._size - self._taken if self._size > SMALL else 0
-        if more > max(0, self._budget.free):
+        missing = self._size - self._reserved if self._size > SMALL_BODY else 0
+        if missing > max(0, self._budget.free):
             raise BudgetExhausted
-        self._budget.free -= more
-        self._taken += more
+        self._budget.free -= missing
+        self._reserved += missing
 
     def release(self) -> None:
-        """Hold nothing from here on."""
-        self._budget.free += self._taken
-        self._size = self._taken = 0
+        """Returns all reserved bytes to the pool."""
+        self._budget.free += self._reserved
+        self._size = self._reserved = 0
--- a/covetally/net/client.py
+++ b/covetally/net/client.py
@@ -336,7 +336,7 @@
 
     # --- the answer -----------------------------------------------------------------------------
 
-    def wanted(self) -> bool:
+    def client_connected(self) -> bool:
         """Whether its client is still there (see `Exchange`). Asks the kernel: the loop may be late with the
         news, and what begins after a client has left is work for nobody."""
         stream = self.stream
--- a/covetally/net/clock.py
+++ b/covetally/net/clock.py
@@ -1,4 +1,4 @@
-"""The one clock of a sidecar."""
+"""The clock of a sidecar."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 
 class Clock:
-    """Wall time read once, then monotonic progress.
+    """Reads wall time once at the start and then advances with the monotonic clock.
 
-    It never goes back when the machine's clock is set, and can still be compared with the start times that
-    discovery tells. `wheel` has the timers of the request path.
+    The time never goes back when the machine's clock is set, and it can still be compared with the start times in
+    discovery's server lists. `wheel` holds the timers of the request path.
     """
 
     def __init__(self) -> None:
@@ -19,9 +19,9 @@
         self._offset = time.time_ns() - time.monotonic_ns()
 
     def now(self) -> int:
-        """Nanoseconds since the epoch."""
+        """Returns the current time in nanoseconds since the epoch."""
         return self._offset + time.monotonic_ns()
 
     def loop_time(self, at_ns: int) -> float:
-        """The event loop's name for a moment on this clock."""
+        """Converts a time of this clock to the event loop's clock."""
         return (at_ns - self._offset) / 1e9
--- a/covetally/net/config.py
+++ b/covetally/net/config.py
@@ -1,4 +1,4 @@
-"""What a sidecar is told at its start."""
+"""Reads and checks the platform's configuration of a sidecar."""
 
 from __future__ import annotations
 
@@ -14,9 +14,10 @@
 
 Address = tuple[str, int]
 
-CLIENT_SHARE = 0.5  # of the descriptors; with upstream's, a tenth is left for everything else and for bursts
-UPSTREAM_SHARE = 0.4
-BODY_SHARE = 1 / 8  # of the memory limit, for bodies on their way in
+# Fractions of the descriptors. A tenth is left for everything else and for bursts.
+CLIENT_FRACTION = 0.5
+UPSTREAM_FRACTION = 0.4
+BODY_FRACTION = 1 / 8  # of the memory limit, for request bodies that are being received
 
 
 class ConfigError(ConfigurationError):
@@ -28,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """The configuration, checked."""
+    """The checked configuration."""
 
     name: str
     listen: Address
@@ -41,19 +42,19 @@
     peers_all: Address | None
     known: Any
     settings: Settings
-    load_fields: frozenset[str]  # the names in load reports
+    load_fields: frozenset[str]  # the names of the fields in load reports
     client_connections: int
     server_connections: int
-    body_memory: int  # bytes that requests on their way in may hold
-    backlog: int = 4096  # a crowd waits here while it is let in
+    body_memory: int  # bytes that request bodies may take while they are received
+    backlog: int = 4096  # many clients may connect at once and wait here until they are accepted
     log_level: str = "info"
 
 
 def load(env: Mapping[str, str]) -> Config:
-    """Read the file named by EDGE_CONFIG; the other variables stand in for keys that it lacks."""
+    """Reads the file that EDGE_CONFIG names. Other variables supply keys that the file lacks."""
     path = env.get("EDGE_CONFIG")
     if not path:
-        raise ConfigError("EDGE_CONFIG: not set; it has to name the configuration, a JSON file")
+        raise ConfigError("EDGE_CONFIG: not set; it has to name the configuration file (JSON)")
     try:
         with open(path, encoding="utf-8") as file:
             raw = json.load(file)
@@ -82,9 +83,9 @@
         known=raw.get("known"),
         settings=settings,
         load_fields=_load_fields(raw["settings"].get("reporting")),
-        client_connections=int(sockets * CLIENT_SHARE),
-        server_connections=int(sockets * UPSTREAM_SHARE),
-        body_memory=int(memory * BODY_SHARE),
+        client_connections=int(sockets * CLIENT_FRACTION),
+        server_connections=int(sockets * UPSTREAM_FRACTION),
+        body_memory=int(memory * BODY_FRACTION),
     )
 
 
@@ -96,7 +97,7 @@
     try:
         return split_address(value)
     except (AttributeError, ValueError):
-        raise ConfigError(f"{key}: not an address a.b.c.d:port: {value!r}") from None
+        raise ConfigError(f"{key}: not an address of the form a.b.c.d:port: {value!r}") from None
 
 
 def _peers(raw: dict[str, Any]) -> tuple[Address, ...]:
@@ -123,9 +124,9 @@
         raise ConfigError(f"seed: not hexadecimal: {value!r}") from None
 
 
-def _limit(raw: dict[str, Any], name: str, least: int, default: int) -> int:
+def _limit(raw: dict[str, Any], name: str, minimum: int, default: int) -> int:
     limits = raw.get("limits")
     value = limits.get(name, default) if isinstance(limits, dict) else default
-    if not isinstance(value, int) or isinstance(value, bool) or value < least:
-        raise ConfigError(f"limits.{name}: not a whole number of at least {least}: {value!r}")
+    if not isinstance(value, int) or isinstance(value, bool) or value < minimum:
+        raise ConfigError(f"limits.{name}: not an integer of at least {minimum}: {value!r}")
     return value
--- a/covetally/net/discovery_call.py
+++ b/covetally/net/discovery_call.py
@@ -1,4 +1,4 @@
-"""One call to discovery, on one connection."""
+"""One call to discovery over one connection."""
 
 from __future__ import annotations
 
@@ -7,20 +7,20 @@
 from covetally.net.server_list import ListError
 from covetally.net.async_connection import AsyncConnection
 
-MAX_LIST = 8 * 1024 * 1024  # bytes
+MAX_LIST_BYTES = 8 * 1024 * 1024
 
 
 class DiscoveryCall:
-    """A request and its answer. `received` is what has come of the answer's body, whole or not."""
+    """A request to discovery and its answer. `received` holds the answer's body so far, complete or not."""
 
     def __init__(self, address: Address, target: str, connection: AsyncConnection | None) -> None:
         self._address, self._target = address, target
-        self._connection = connection  # kept from an earlier call; None: a new one is made
+        self._connection = connection  # kept from an earlier call; None: open a new one
         self.received = bytearray()
 
     async def run(self) -> bytes:
-        """The whole body of the answer; OSError, Malformed or ListError where there is none. The connection is
-        closed by any failure, cancellation included."""
+        """Returns the complete body of the answer; raises OSError, Malformed or ListError if there is none. Any
+        failure, including cancellation, closes the connection."""
         try:
             if self._connection is None:
                 self._connection = await AsyncConnection.connect(self._address)
@@ -39,14 +39,14 @@
             raise Broken(f"answered {head.status if isinstance(head, ResponseHead) else 'nothing'}")
         while isinstance(event := await connection.next_event(), bytes):
             self.received += event
-            if len(self.received) > MAX_LIST:
-                raise ListError("list too long")
+            if len(self.received) > MAX_LIST_BYTES:
+                raise ListError("the server list is too long")
         if event is not End.MESSAGE:
-            raise Broken("ended inside an answer")
+            raise Broken("the connection ended inside an answer")
         return bytes(self.received)
 
     def take_connection(self) -> AsyncConnection | None:
-        """The connection of a call that was answered, for the next one; None if it must not carry another."""
+        """Hands over the connection of an answered call for the next call; None if it cannot be reused."""
         connection, self._connection = self._connection, None
         if connection is not None and not connection.recycle():
             connection.close()
@@ -54,7 +54,7 @@
         return connection
 
     def close(self) -> None:
-        """Close the connection, if there is one."""
+        """Closes the connection, if there is one."""
         if self._connection is not None:
             self._connection.close()
             self._connection = None
--- a/covetally/net/extensions.py
+++ b/covetally/net/extensions.py
@@ -1,5 +1,5 @@
-"""What stands beside the request path, as that knows it: parts that an operator may ask for, and other processes
-at the same address."""
+"""Interfaces between the request path and the optional parts of a sidecar, and to other processes that serve the
+same address."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 
 
 class Upgrade(NamedTuple):
-    """A request for another protocol as it is to go on: headers for the server, what the module is told, its id,
-    and what the answer has to be. `token` is for whoever made it."""
+    """A request for another protocol as it is forwarded: the headers for the server, the request's attributes for
+    the policy, its id, and the check of the server's response. `token` belongs to the handler that created it."""
 
     headers: Headers
     request_info: RequestInfo
@@ -23,42 +23,43 @@
 
 
 class UpgradeHandler(Protocol):
-    """Takes over connections whose clients want another protocol."""
+    """Takes over connections whose clients ask for another protocol."""
 
     def wants(self, head: RequestHead) -> bool:
-        """Whether a request with an Upgrade is one of those."""
+        """Returns whether it handles a request that has an Upgrade header."""
 
     def begin(self, head: RequestHead) -> Upgrade:
-        """How it is to go on; Malformed if it must not."""
+        """Returns the request to forward; raises Malformed if it must not be forwarded."""
 
     def admit(self, upgrade: Upgrade) -> Answer | None:
-        """Whether there is a place for it; else the refusal."""
+        """Returns None if a connection limit leaves room for the request, else the refusal."""
 
     def declined(self, upgrade: Upgrade, answer: Answer | None) -> None:
-        """It has had another answer than 101, or its client has left (None)."""
+        """Called when the request got another answer than 101, or None if its client has left."""
 
     def switched(self, upgrade: Upgrade, client: tuple[socket.socket, bytes], answer: Answer) -> None:
-        """A server has agreed. Both connections are given away, with what came early on the client's."""
+        """Takes over both connections after a server has agreed. `client` is the client's socket, with the bytes
+        that the client sent early."""
 
 
 class Gate(Protocol):
-    """What bounds tenants' connections (covetally/caps/gate.py)."""
+    """Limits tenants' connections (covetally/caps/gate.py)."""
 
     def admit(self, connection: Any, tenant: int) -> int:
-        """0 if a request on it may be served, else after how many ns its client may come back."""
+        """Returns 0 if a request on the connection may be served, else how many ns later its client may retry."""
 
     def idle(self, connection: Any) -> None:
-        """It has no request under way any more."""
+        """Called when the connection has no request in progress any more."""
 
     def ended(self, connection: Any) -> None:
-        """It is closed."""
+        """Called when the connection is closed."""
 
 
 class Claims(Protocol):
-    """The ids of requests that are open in any of several processes at one address."""
+    """The ids of requests that are open in any of the processes that serve one address."""
 
     def claim(self, trace_id: bytes) -> bool:
-        """Whether no other process has it open; from now on this one has."""
+        """Claims an id for this process; returns False if another process has a request open under it."""
 
     def release(self, trace_id: bytes) -> None:
-        """It is not open here any more."""
+        """Releases an id after its request is finished."""
--- a/covetally/net/outcome.py
+++ b/covetally/net/outcome.py
@@ -1,4 +1,4 @@
-"""What goes into an attempt and what comes of it."""
+"""The input and the result of an attempt."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 
 class Switch(Protocol):
-    """What a client asked for that wants another protocol on its connection."""
+    """A client's request to switch its connection to another protocol."""
 
     def check(self, head: ResponseHead) -> None:
-        """Malformed if a 101 is not the answer to it."""
+        """Raises Malformed if a 101 response does not answer the request."""
 
 
 class Request(NamedTuple):
-    """A client's request as it goes on to a server, its body unchanged."""
+    """A client's request as it is forwarded to a server, with the body unchanged."""
 
     method: bytes
     target: bytes
@@ -29,7 +29,7 @@
     switch: Switch | None = None
 
     def encode(self, expires_s: float) -> bytes:
-        """The bytes for an attempt that will be waited for so long."""
+        """Returns the bytes for an attempt that is given up after `expires_s`."""
         lines = [b"%s %s HTTP/1.1" % (self.method, self.target)]
         lines += [name + b": " + value for name, value in self.headers if name != b"x-expires-in"]
         lines.append(b"x-expires-in: %.3f" % expires_s)
@@ -40,17 +40,23 @@
 
 
 class AttemptLimits(NamedTuple):
-    """What an attempt keeps to: it is given up at `abandon_ns`, not begun past `begin_by_ns` (0: no such bound),
-    and not begun once its client has left, which `wanted` finds out."""
+    """The conditions under which an attempt may start and continue.
+
+    The attempt is given up at `abandon_ns`. It does not start after `begin_by_ns` (0: no such limit), nor once
+    `client_connected` returns False.
+    """
 
     abandon_ns: int
-    wanted: Callable[[], bool]
+    client_connected: Callable[[], bool]
     begin_by_ns: int = 0
 
 
 class Outcome(NamedTuple):
-    """How an attempt ended. `answer` is there if it settles the request; `lag_ns` is what the server took
-    for it, without the time for which this process let it lie."""
+    """The result of an attempt.
+
+    `answer` is present if it settles the request. `lag_ns` is the time that the server took to answer; the time
+    that the answer waited in this process is not included.
+    """
 
     how: How
     load: Load
--- a/covetally/net/repeat_guard.py
+++ b/covetally/net/repeat_guard.py
@@ -1,7 +1,7 @@
-"""The last check before a request is repeated, independent of the decision that asked for it.
+"""The last check before a request is repeated, independent of the policy that asked for the repeat.
 
-The decision module has the same rule in `policy/rules.py`. It stands here a second time on purpose: a bug there
-must not run an effect twice. This check knows only what was submitted and how it ended.
+The policy implements the same rule in `policy/rules.py`. It is implemented twice on purpose: a bug in the policy
+must not run a request's effect twice. This check uses only which attempts were submitted and how they ended.
 """
 
 from __future__ import annotations
@@ -9,11 +9,14 @@
 from covetally.interface import RequestClass
 
 
-def may_repeat(cls: RequestClass, out: int, ran_at_ns: int, now_ns: int) -> bool:
-    """Whether a further attempt can do no harm: `out` attempts have no outcome yet, and the first that may have
-    run began at `ran_at_ns` (0: none), both times on the sidecar's clock."""
+def may_repeat(cls: RequestClass, outstanding: int, ran_at_ns: int, now_ns: int) -> bool:
+    """Returns whether a further attempt is safe.
+
+    `outstanding` is the number of attempts without an outcome, and `ran_at_ns` the start of the first attempt
+    that may have run (0: none). Both times are on the sidecar's clock.
+    """
     if cls.repeat == "free":
         return True
     if not ran_at_ns:
-        return not out
+        return not outstanding
     return cls.repeat == "guarded" and now_ns < ran_at_ns + cls.window_ns
--- a/covetally/net/server.py
+++ b/covetally/net/server.py
@@ -1,4 +1,4 @@
-"""What the shell knows of one server: where it listens, its idle connections, and what is being written to it."""
+"""The state of one server as seen by the connection pool, and the interface of the pool."""
 
 from __future__ import annotations
 
@@ -15,29 +15,29 @@
 
 
 class UnsentAttempt(Protocol):
-    """An attempt that is not wholly written yet."""
+    """An attempt whose request is not completely written yet."""
 
     def on_server_draining(self) -> None:
-        """Its server wants nothing new any more."""
+        """Called when the server accepts no new requests any more."""
 
 
 @dataclass(slots=True, eq=False)
 class Server:
-    """A server's address, its idle connections (newest last) and what is being written to it."""
+    """A server's address, its idle connections (most recently used last) and its unsent attempts."""
 
     address: Address
     started_ns: int = 0
     incarnation: int = 0  # counts the processes seen behind this name
-    draining: bool = False  # it drains or has gone: nothing new is written to it
-    idle: dict[Stream, float] = field(default_factory=dict)  # and since when, on the loop's clock
-    idle_timer: Timer | None = None  # closes what has rested its time
+    draining: bool = False  # it drains or was removed: no new request is written to it
+    idle: dict[Stream, float] = field(default_factory=dict)  # with the time they became idle, on the loop's clock
+    idle_timer: Timer | None = None  # closes connections that were idle for too long
     unsent: set[UnsentAttempt] = field(default_factory=set)
-    local_failures: int = 0  # dials in a row that failed for a lack of this machine's, and
-    local_failures_since: float = 0.0  # the first of them, on the loop's clock
+    local_failures: int = 0  # consecutive connects that failed for lack of a resource on this machine
+    local_failures_since: float = 0.0  # the time of the first of them, on the loop's clock
 
 
 class ConnectionPool(Protocol):
-    """Who has the connections to all servers."""
+    """Manages the connections to all servers."""
 
     loop: asyncio.AbstractEventLoop
     clock: Clock
@@ -45,28 +45,30 @@
     connect_timeout_s: float
 
     def take_idle(self, server: Server) -> tuple[Stream, float, float] | None:
-        """An idle connection, for how long it rested, and for how long it has to settle yet."""
+        """Takes an idle connection out of the pool; returns it with the time that it was idle and the time until
+        it may be used."""
 
     def add_idle(self, server: Server, stream: Stream) -> None:
-        """Take the connection of a finished exchange to rest."""
+        """Adds the connection of a finished exchange to the idle pool."""
 
     def reserve_connection(self) -> bool:
-        """A place for a new connection; False if there is none."""
+        """Reserves one of the limited number of connections; returns False if none is left."""
 
     def release_connection(self) -> None:
-        """A connection has gone, or did not come up."""
+        """Releases a reserved connection that was closed or not established."""
 
     def classify_connect_error(self, server: Server, error: int | None) -> How:
-        """What a dial that failed at once with this errno proves: MOOT where it says nothing of the server."""
+        """Returns the outcome for a connect that failed at once with this errno: MOOT if the error does not
+        indicate a fault of the server."""
 
     def record_connected(self, server: Server) -> None:
-        """A connection to it has come up."""
+        """Records that a connection to the server was established."""
 
     def record_broken_idle(self) -> None:
-        """A kept connection broke when it was used again."""
+        """Records that an idle connection broke when it was reused."""
 
-    def last_byte_delay_s(self, rest_s: float) -> float:
-        """How long the last byte of a request waits on a connection that rested so long."""
+    def last_byte_delay_s(self, idle_s: float) -> float:
+        """Returns how long the last byte of a request is held back on a connection that was idle for `idle_s`."""
 
     def parse_load_report(self, text: bytes) -> Load:
-        """A load report, empty if it cannot be read."""
+        """Parses a load report; returns an empty one if it is malformed."""
--- a/covetally/net/server_list.py
+++ b/covetally/net/server_list.py
@@ -1,4 +1,4 @@
-"""The list of servers in the platform's form: whole, or what came of one that broke off. No I/O."""
+"""Parses server lists in the platform's format: full answers, and the valid part of truncated ones. No I/O."""
 
 from __future__ import annotations
 
@@ -25,7 +25,8 @@
 
 
 class ListUpdate(NamedTuple):
-    """One answer of discovery."""
+    """One answer of discovery: the full list if `full` is set, else the changes since an earlier version.
+    `generation` is the version of the list."""
 
     generation: int
     full: bool
@@ -33,11 +34,11 @@
 
 
 def parse_list(settings: Settings, raw: Any) -> ListUpdate:
-    """A list in discovery's form; ListError if any of it is malformed."""
+    """Converts a decoded answer of discovery; raises ListError if any part of it is malformed."""
     try:
         generation, full, items = raw["generation"], raw["reset"], raw["instances"]
         if not isinstance(generation, int) or not isinstance(full, bool) or not isinstance(items, list):
-            raise ListError("generation, reset or instances of the wrong type")
+            raise ListError("generation, reset or instances has the wrong type")
         return ListUpdate(generation, full, [_entry(settings, item) for item in items])
     except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as error:
         raise ListError(f"{type(error).__name__}: {error}") from None
@@ -46,7 +47,7 @@
 def _entry(settings: Settings, item: dict[str, Any]) -> tuple[Entry, Address]:
     name = item["instanceId"]
     if not isinstance(name, str) or not name:
-        raise ListError(f"instanceId {name!r}")
+        raise ListError(f"instanceId is not a non-empty string: {name!r}")
     entry = Entry(
         server=name,
         zone=_index(settings.zones, item.get("zone")),
@@ -60,11 +61,12 @@
 
 
 def _index(names: tuple[str, ...], name: Any) -> int:
+    """Returns the index of a name; unknown names share the index after the last one."""
     return names.index(name) if name in names else len(names)
 
 
 def parse_partial_list(settings: Settings, text: str) -> list[tuple[Entry, Address]]:
-    """The entries that came whole in an answer that did not: each of them is true."""
+    """Returns the entries that were received completely in a truncated answer; each of them is valid."""
     entries = []
     start = _PREAMBLE.match(text)
     at = start.end() if start else len(text)
--- a/covetally/net/sidecar.py
+++ b/covetally/net/sidecar.py
@@ -87,7 +87,7 @@
     def trace_id(self) -> bytes:
         """The id that its client gave it."""
 
-    def wanted(self) -> bool:
+    def client_connected(self) -> bool:
         """Whether its client is still there; one that has left is hung up."""
 
     def finish(self, answer: Answer) -> None:
@@ -309,7 +309,7 @@
         if self.tracing:
             log.debug("request %s: attempt %d at %s", self._name(action.tid), number, action.server)
         done = partial(self._settle, action, call, number, now)
-        bounds = AttemptLimits(abandon_ns, call.exchange.wanted, action.begin_by_ns)
+        bounds = AttemptLimits(abandon_ns, call.exchange.client_connected, action.begin_by_ns)
         call.attempts[number] = self._upstream.attempt(action.server, call.exchange.request, bounds, done)
 
     def _may_repeat(self, action: Submit, call: _Call, now: int) -> bool:
--- a/covetally/net/timer_wheel.py
+++ b/covetally/net/timer_wheel.py
@@ -1,9 +1,9 @@
-"""One timer for all deadlines of the request path.
+"""A timer wheel for all timers of the request path.
 
-asyncio keeps every timer in a heap, ordered by comparisons in Python, and each costs a handle; a request sets
-four or five and cancels nearly all of them. Here a timer is a place in a set, and the loop has one timer in all:
-for the next slot that holds anything. Nothing fires early; what fires is late by a slot's width at most, and by
-as much as the loop is.
+asyncio keeps every timer in a heap, which is ordered by comparisons in Python, and allocates a handle for each. A
+request sets four or five timers and cancels nearly all of them. Here a timer is an entry in a slot, and the event
+loop has a single timer: for the next slot that is not empty. No timer fires early. A timer fires late by at most
+the width of a slot, plus the delay of the event loop.
 """
 
 from __future__ import annotations
@@ -15,52 +15,53 @@
 SLOT_WIDTH_S = 0.002
 
 
-def _nothing() -> None:
-    """What a timer does that was cancelled."""
+def _cancelled() -> None:
+    """The callback of a cancelled timer."""
 
 
 class Timer:
-    """One call that is due; `cancel` makes it none."""
+    """A scheduled callback."""
 
-    __slots__ = ("call", "slot")
+    __slots__ = ("callback", "slot")
 
-    def __init__(self, call: Callable[[], None], slot: dict[Timer, None]) -> None:
-        self.call = call
+    def __init__(self, callback: Callable[[], None], slot: dict[Timer, None]) -> None:
+        self.callback = callback
         self.slot = slot
 
     def cancel(self) -> None:
-        """It is not to fire any more; nothing happens if it has."""
+        """Cancels the timer; does nothing if it has fired."""
         self.slot.pop(self, None)
-        self.call = _nothing  # whoever holds a timer of its own would make a circle with it
+        self.callback = _cancelled  # an owner that keeps its timer would otherwise form a reference cycle
 
 
 class TimerWheel:
-    """Timers of one event loop. All times are the loop's, in seconds."""
+    """The timers of one event loop. All times are seconds on the loop's clock."""
 
     def __init__(self) -> None:
         self._slots: dict[int, dict[Timer, None]] = {}
-        self._order: list[int] = []  # the numbers of the slots, as a heap
+        self._order: list[int] = []  # the slot numbers, as a heap
         self._next: asyncio.TimerHandle | None = None
-        self._next_at = 0
+        self._next_slot = 0
 
-    def call_at(self, when: float, call: Callable[[], None]) -> Timer:
-        """Call at that time or up to SLOT_WIDTH_S after it, in the order of asking within a slot."""
+    def call_at(self, when: float, callback: Callable[[], None]) -> Timer:
+        """Schedules a callback at `when` or up to SLOT_WIDTH_S later. Within a slot callbacks run in the order in
+        which they were scheduled."""
         number = int(when / SLOT_WIDTH_S) + 1
         slot = self._slots.get(number)
         if slot is None:
             slot = self._slots[number] = {}
             heapq.heappush(self._order, number)
-            if self._next is None or number < self._next_at:
-                self._arm(number)
-        timer = Timer(call, slot)
+            if self._next is None or number < self._next_slot:
+                self._schedule(number)
+        timer = Timer(callback, slot)
         slot[timer] = None
         return timer
 
-    def _arm(self, number: int) -> None:
+    def _schedule(self, number: int) -> None:
         if self._next is not None:
             self._next.cancel()
         self._next = asyncio.get_running_loop().call_at(number * SLOT_WIDTH_S, self._fire)
-        self._next_at = number
+        self._next_slot = number
 
     def _fire(self) -> None:
         self._next = None
@@ -72,10 +73,12 @@
                 timer = next(iter(slot))
                 del slot[timer]
                 try:
-                    timer.call()
-                except Exception as error:  # as the loop has it: one that fails must not keep others from firing
-                    loop.call_exception_handler({"message": "a timer failed by a bug", "exception": error})
-        while self._order and not self._slots[self._order[0]]:  # all of it was cancelled
+                    timer.callback()
+                except Exception as error:  # as in asyncio: one failing timer must not keep others from firing
+                    loop.call_exception_handler({
+                        "message": "unhandled exception in a timer callback", "exception": error,
+                    })  # fmt: skip
+        while self._order and not self._slots[self._order[0]]:  # every timer of this slot was cancelled
             del self._slots[heapq.heappop(self._order)]
         if self._order:
-            self._arm(self._order[0])
+            self._schedule(self._order[0])
--- a/covetally/rig/soak.py
+++ b/covetally/rig/soak.py
@@ -43,7 +43,7 @@
     (signal.SIGSTOP, signal.SIGTERM, signal.SIGCONT),
 )  # fmt: skip
 BETWEEN_S = 0.03  # two signals of a series, at most
-TROUBLE = re.compile(r"Traceback|violation [a-z]|by a bug|the module failed")
+TROUBLE = re.compile(r"Traceback|violation [a-z]|by a bug|the module failed|unhandled exception")
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/test_timer_wheel.py
+++ b/tests/test_timer_wheel.py
@@ -44,14 +44,14 @@
 
 def test_a_timer_that_fails_keeps_no_other_from_firing():
     async def main():
-        told, fired, loop = [], asyncio.Event(), asyncio.get_running_loop()
-        loop.set_exception_handler(lambda _, context: told.append(context["message"]))
+        reported, fired, loop = [], asyncio.Event(), asyncio.get_running_loop()
+        loop.set_exception_handler(lambda _, context: reported.append(context["message"]))
         wheel, now = TimerWheel(), loop.time()
         wheel.call_at(now, lambda: 1 // 0)
         wheel.call_at(now, fired.set)
         async with asyncio.timeout(10):
             await fired.wait()
-        assert told == ["a timer failed by a bug"]
+        assert reported == ["unhandled exception in a timer callback"]
 
     asyncio.run(main())
 
