--- a/covetally/net/discovery.py
+++ b/covetally/net/discovery.py
@@ -1,14 +1,15 @@
-"""The server list: asked for, watched, and told to the module and to upstream.
-
-    state      what is open                                     -> next
-    -----      ------------                                     -------
-    IDLE       nothing is waited for                            ASKING by `start` or `subscribe`
-    ASKING     the newest call, within its patience             ASKING with each answer and after a first failure,
-                                                                PAUSING or IDLE after a further one
-    PAUSING    lists are pushed: the next call is due shortly   ASKING
-
-In each state calls that ran out of patience may be open beside it: the first whole answer of any call counts and
-ends all others. So an answer that takes longer than a call's patience is heard, however often that happens.
+"""Keeps the server list up to date by calling discovery.
+
+    state      meaning                                          next state
+    -----      -------                                          ----------
+    IDLE       no call is due                                   CALLING by `start` or `subscribe`
+    CALLING    the newest call is open, within its timeout      CALLING after an answer and after a first failure,
+                                                                PAUSING (pushed) or IDLE (polled) after others
+    PAUSING    lists are pushed: the next call is due shortly   CALLING
+
+`stop` leads to IDLE from any state. In each state, calls that timed out may still be open in addition. The first
+complete answer of any call is used, and all other calls are closed. An answer that takes longer than a call's
+timeout is therefore received, however often that happens.
 """
 
 from __future__ import annotations
@@ -35,59 +36,61 @@
 
 
 class State(enum.Enum):
-    """See the module's head."""
+    """The states in the table at the head of this module."""
 
     IDLE = enum.auto()
-    ASKING = enum.auto()
+    CALLING = enum.auto()
     PAUSING = enum.auto()
 
 
 @dataclass(slots=True, eq=False)
 class _OpenCall:
-    """A call that may still be answered. Times are the loop's, in seconds."""
+    """A call that may still be answered. Times are seconds on the loop's clock."""
 
     call: DiscoveryCall
-    terms: discovery_schedule.CallTiming
-    began: float
+    timing: discovery_schedule.CallTiming
+    started: float
     task: asyncio.Task[bytes]
-    timer: asyncio.TimerHandle  # ends its patience, then its life
+    timer: asyncio.TimerHandle  # ends its timeout; after that, closes it
 
 
 class Discovery:
-    """Keeps the list known. What it has learnt stays valid when discovery is down."""
+    """Watches the server list. The last known list stays in use while discovery is down."""
 
     def __init__(self, settings: Settings, address: Address) -> None:
         self._pushed = not settings.must_ask
         self._settings = settings
         self._grace_s = settings.invariants.drain_grace_ns / 1e9
         self._address = address
-        self._index: int | None = None  # the version of the list that is known
-        self._connection: AsyncConnection | None = None  # kept between two calls
-        self._failing = False  # the newest call that has ended, or ran out of patience
+        self._index: int | None = None  # the version of the known list
+        self._connection: AsyncConnection | None = None  # kept open between calls
+        self._failing = False  # the newest call that ended or timed out has failed
         self._state = State.IDLE
         self._newest: _OpenCall | None = None
-        self._kept: list[_OpenCall] = []  # ran out of patience, and may still be answered
-        self._kept_began = float("-inf")  # when the one that was kept last had begun
+        self._kept: list[_OpenCall] = []  # timed out, but may still be answered
+        self._kept_started = float("-inf")  # when the call that was kept last started
         self._pause: asyncio.TimerHandle | None = None
         self.on_update: Callable[[ListUpdate], None]
         self.on_failure: Callable[[], None]
 
-    # --- what is wanted of it -------------------------------------------------------------------
+    # --- control --------------------------------------------------------------------------------
 
     def start(self) -> None:
-        """Where lists are pushed: watch for good."""
+        """Starts the watch where lists are pushed; it goes on until `stop`."""
         if self._pushed and self._state is State.IDLE:
-            self._ask()
+            self._call()
 
     def subscribe(self) -> None:
-        """Where lists are asked for, at the module's word: watch until a call fails. The first to fail is asked
-        anew at once, since a kept connection may have been closed; each further one brings a pause.
+        """Starts the watch where lists are polled, at the request of the policy; it goes on until calls fail.
+
+        The first failed call is repeated at once, because the server may have closed the kept connection. After
+        each further failure the policy decides when to call again.
         """
         if not self._pushed and self._state is State.IDLE:
-            self._ask()
+            self._call()
 
     def stop(self) -> None:
-        """End the watch."""
+        """Ends the watch."""
         self._state = State.IDLE
         self._close_calls()
         self._end_pause()
@@ -96,16 +99,16 @@
             self._connection = None
 
     def restart(self) -> None:
-        """Watch anew, beginning with the whole list, whatever was told before."""
+        """Starts a new watch, which begins with the full list."""
         self.stop()
         self._index, self._failing = None, False
         self.start()
         self.subscribe()
 
     def set_address(self, address: Address) -> None:
-        """Discovery is at another address: what the old one still has to tell no longer counts.
+        """Changes discovery's address; pending answers from the old address are dropped.
 
-        The new one numbers its versions its own way, so the first call asks for the whole list.
+        The version numbers of the two are unrelated, so the first call asks for the full list.
         """
         if address == self._address:
             return
@@ -113,23 +116,23 @@
         self.stop()
         self._address, self._index, self._failing = address, None, False
         if watching:
-            self._ask()
+            self._call()
 
     # --- calls ----------------------------------------------------------------------------------
 
-    def _ask(self) -> None:
-        """Send the next call; it is the only one within its patience."""
+    def _call(self) -> None:
+        """Starts the next call. No other call is within its timeout."""
         assert self._newest is None
         loop = asyncio.get_running_loop()
-        self._state = State.ASKING
+        self._state = State.CALLING
         self._end_pause()
-        terms = discovery_schedule.next_call(self._pushed, self._index is not None, self._failing, self._grace_s)
-        target = PATH if terms.wait_ms < 0 else f"{PATH}?index={self._index}&wait={terms.wait_ms}"
+        timing = discovery_schedule.next_call(self._pushed, self._index is not None, self._failing, self._grace_s)
+        target = PATH if timing.wait_ms < 0 else f"{PATH}?index={self._index}&wait={timing.wait_ms}"
         call = DiscoveryCall(self._address, target, self._take_connection())
         task = loop.create_task(call.run())
-        timer = loop.call_later(terms.timeout_s, self._out_of_patience)
-        self._newest = found = _OpenCall(call, terms, loop.time(), task, timer)
-        task.add_done_callback(partial(self._ended, found))
+        timer = loop.call_later(timing.timeout_s, self._time_out)
+        self._newest = open_call = _OpenCall(call, timing, loop.time(), task, timer)
+        task.add_done_callback(partial(self._call_done, open_call))
 
     def _end_pause(self) -> None:
         if self._pause is not None:
@@ -143,106 +146,108 @@
             return None
         return connection
 
-    def _out_of_patience(self) -> None:
-        """The newest call is not waited for alone any longer; it may stay open beside those that follow."""
-        found, self._newest = self._newest, None
-        assert found is not None
-        self._salvage(found)
-        keep_s = discovery_schedule.keep_open_s(self._pushed, found.terms)
-        if found.began - self._kept_began >= keep_s / discovery_schedule.MAX_KEPT_CALLS or not self._kept:
-            self._kept.append(found)
-            self._kept_began = found.began
-            at = found.began + keep_s
-            found.timer = asyncio.get_running_loop().call_at(at, self._give_up, found)
+    def _time_out(self) -> None:
+        """Handles the timeout of the newest call. The call may stay open beside the next ones."""
+        open_call, self._newest = self._newest, None
+        assert open_call is not None
+        self._use_partial_list(open_call)
+        keep_s = discovery_schedule.keep_open_s(self._pushed, open_call.timing)
+        if open_call.started - self._kept_started >= keep_s / discovery_schedule.MAX_KEPT_CALLS or not self._kept:
+            self._kept.append(open_call)
+            self._kept_started = open_call.started
+            at = open_call.started + keep_s
+            open_call.timer = asyncio.get_running_loop().call_at(at, self._give_up, open_call)
         else:
-            self._close(found)
-        self._failed(f"no answer within {found.terms.timeout_s:.2f} s")
+            self._close(open_call)
+        self._on_failed(f"no answer within {open_call.timing.timeout_s:.2f} s")
 
-    def _give_up(self, found: _OpenCall) -> None:
-        """A call that was kept beside others has had its time."""
-        self._kept.remove(found)
-        self._salvage(found)
-        self._close(found)
+    def _give_up(self, open_call: _OpenCall) -> None:
+        """Closes a kept call that has not been answered in time."""
+        self._kept.remove(open_call)
+        self._use_partial_list(open_call)
+        self._close(open_call)
 
-    def _close(self, found: _OpenCall) -> None:
-        found.timer.cancel()
-        found.task.cancel()
-        found.call.close()
+    def _close(self, open_call: _OpenCall) -> None:
+        open_call.timer.cancel()
+        open_call.task.cancel()
+        open_call.call.close()
 
     def _close_calls(self) -> None:
-        found = [*self._kept, self._newest] if self._newest is not None else self._kept
-        self._kept, self._newest, self._kept_began = [], None, float("-inf")
-        for each in found:
+        open_calls = [*self._kept, self._newest] if self._newest is not None else self._kept
+        self._kept, self._newest, self._kept_started = [], None, float("-inf")
+        for each in open_calls:
             self._close(each)
 
-    def _ended(self, found: _OpenCall, task: asyncio.Task[bytes]) -> None:
-        """A call was answered, or failed; one that was closed here has no say."""
+    def _call_done(self, open_call: _OpenCall, task: asyncio.Task[bytes]) -> None:
+        """Handles the end of a call's task; calls that were closed here are ignored."""
         if task.cancelled():
             return
-        if found is not self._newest and found not in self._kept:
-            task.exception()  # looked at, so that asyncio does not tell of it
+        if open_call is not self._newest and open_call not in self._kept:
+            task.exception()  # retrieved, so that asyncio does not log it
             return
-        found.timer.cancel()
+        open_call.timer.cancel()
         try:
             update = parse_list(self._settings, _parsed(task.result()))
         except (OSError, Malformed, ListError) as error:
-            self._broken(found, f"{type(error).__name__}: {error}")
+            self._call_failed(open_call, f"{type(error).__name__}: {error}")
         except Exception as error:
-            log.exception("a call to discovery failed by a bug")
-            self._broken(found, f"{type(error).__name__}: {error}")
+            log.exception("unhandled exception in a call to discovery")
+            self._call_failed(open_call, f"{type(error).__name__}: {error}")
         else:
-            self._answered(found, update)
+            self._call_answered(open_call, update)
 
-    # --- what comes of them ---------------------------------------------------------------------
+    # --- results --------------------------------------------------------------------------------
 
-    def _answered(self, found: _OpenCall, update: ListUpdate) -> None:
-        """The first whole answer counts, whichever call it is to; the next watch follows at once."""
-        connection = found.call.take_connection()
+    def _call_answered(self, open_call: _OpenCall, update: ListUpdate) -> None:
+        """Uses the first complete answer, whichever call it belongs to, and starts the next call at once."""
+        connection = open_call.call.take_connection()
         self._close_calls()
         self._connection = connection
         if self._failing:
-            took_s = asyncio.get_running_loop().time() - found.began
-            log.info("discovery is back: an answer after %.2f s", took_s)
+            took_s = asyncio.get_running_loop().time() - open_call.started
+            log.info("discovery has recovered: answered after %.2f s", took_s)
         self._failing = False
-        self._state = State.ASKING
+        self._state = State.CALLING
         try:
-            self._learn(update)
+            self._apply(update)
         finally:
-            if self._state is State.ASKING and self._newest is None:  # else it was stopped or moved meanwhile
-                self._ask()
-
-    def _broken(self, found: _OpenCall, text: str) -> None:
-        """A call has failed."""
-        self._salvage(found)
-        if found is self._newest:
+            # Not if `_apply` has led to `stop` or `set_address`.
+            if self._state is State.CALLING and self._newest is None:
+                self._call()
+
+    def _call_failed(self, open_call: _OpenCall, text: str) -> None:
+        """Handles the failure of one call."""
+        self._use_partial_list(open_call)
+        if open_call is self._newest:
             self._newest = None
-            self._failed(text)
+            self._on_failed(text)
         else:
-            self._kept.remove(found)
+            self._kept.remove(open_call)
 
-    def _failed(self, text: str) -> None:
-        """The newest call has failed or ran out of patience: what comes next."""
+    def _on_failed(self, text: str) -> None:
+        """Decides what follows after the newest call failed or timed out."""
         first, self._failing = not self._failing, True
         if first:
             log.warning("discovery: %s", text)
-            self._ask()
+            self._call()
         elif self._pushed:
             pause_s = discovery_schedule.retry_pause_s(self._grace_s)
             self._state = State.PAUSING
-            self._pause = asyncio.get_running_loop().call_later(pause_s, self._ask)
+            self._pause = asyncio.get_running_loop().call_later(pause_s, self._call)
         else:
             self._state = State.IDLE
             self.on_failure()
 
-    def _salvage(self, found: _OpenCall) -> None:
-        """What came whole of an answer that is not is true."""
-        entries = parse_partial_list(self._settings, found.call.received.decode("utf-8", "replace"))
+    def _use_partial_list(self, open_call: _OpenCall) -> None:
+        """Applies the entries that were received completely in an incomplete answer: each of them is valid."""
+        entries = parse_partial_list(self._settings, open_call.call.received.decode("utf-8", "replace"))
         if entries:
             self.on_update(ListUpdate(0, False, entries))
 
-    def _learn(self, update: ListUpdate) -> None:
+    def _apply(self, update: ListUpdate) -> None:
         if self._index is not None and update.generation < self._index and not update.full:
-            # A discovery that started anew counts from below: changes since our version mean nothing to it.
+            # A restarted discovery numbers its versions from the beginning, so changes relative to our version
+            # mean nothing to it. The next call asks for the full list.
             log.warning("discovery went back from version %d to %d", self._index, update.generation)
             self._index = None
         else:
--- a/covetally/net/loop.py
+++ b/covetally/net/loop.py
@@ -1,10 +1,10 @@
-"""The event loop of a sidecar: asyncio's own, with a cheaper way from a socket's news to whoever wants it.
+"""The event loop of a sidecar: asyncio's own, with cheaper dispatch of socket events.
 
-asyncio makes a handle and a key for each socket that is watched, and puts each piece of news through its queue.
-On the request path, where each client and each server may be a new connection, that is a part of what a request
-costs. Here `add_reader` and `add_writer` keep a socket's callbacks in one small object, and they are called as
-the kernel tells of it. Transports, signals, timers and all else are asyncio's. Any other loop does as well:
-nothing in the sidecar asks which one it runs on.
+asyncio keeps a handle and a selector key for each watched socket, and passes each event through its queue. On
+the request path, where each client and each server may mean a new connection, that is a notable part of the cost
+of a request. This loop's `add_reader` and `add_writer` keep a socket's callbacks in one small object, and the
+callbacks run as soon as the kernel reports an event. Transports, signals, timers and everything else are
+asyncio's. Any other event loop works as well: nothing in the sidecar depends on this one.
 """
 
 from __future__ import annotations
@@ -23,11 +23,11 @@
 
 IN, OUT = select.EPOLLIN, select.EPOLLOUT
 Callback = Callable[[], None]
-MAKE_TRIES, MAKE_PAUSE_S = 50, 0.1  # of a start, while the system has nothing to give
+CREATE_TRIES, CREATE_PAUSE_S = 50, 0.1  # at the start of a process, while the system lacks resources
 
 
 class _Watch:
-    """What one descriptor's news is for."""
+    """The callbacks of one descriptor."""
 
     __slots__ = ("on_read", "on_write")
 
@@ -37,53 +37,56 @@
 
 
 class _Poller(selectors.EpollSelector):
-    """asyncio's selector, and beside it the descriptors whose news is told at once."""
+    """asyncio's selector, extended by descriptors whose callbacks are called directly."""
 
     def __init__(self) -> None:
         super().__init__()
         self._poll: select.epoll = self._selector  # type: ignore[attr-defined]
         self._keys: dict[int, selectors.SelectorKey] = self._fd_to_key  # type: ignore[attr-defined]
         self._watches: dict[int, _Watch] = {}
-        self._stale: dict[int, _Watch] = {}  # the kernel still tells more of these than is wanted
+        self._stale: dict[int, _Watch] = {}  # the kernel still reports more events of these than are needed
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
-        if timeout:  # as asyncio has it: rounded up to ms, or a timer that is nearly due would be spun for
+        if timeout:  # rounded up to ms as in asyncio, else the loop would spin while a timer is nearly due
             timeout = max(0, math.ceil(timeout * 1e3) * 1e-3)
         watches, keys = self._watches, self._keys
         if self._stale:
             self._narrow_stale()
         try:
-            news = self._poll.poll(timeout, len(watches) + len(keys) or 1)
+            events = self._poll.poll(timeout, len(watches) + len(keys) or 1)
         except InterruptedError:
             return []
-        ready, told = [], []
-        for fd, event in news:
+        ready, watched = [], []
+        for fd, event in events:
             if (watch := watches.get(fd)) is not None:
-                # By the object and not by the number: while one callback runs another descriptor may be closed,
-                # and its number come to stand for a socket of which nothing has been told.
-                told.append((watch, event))
+                # Keeps the object instead of the descriptor: a callback may close another descriptor, and its
+                # number may be reused for a socket that has no event.
+                watched.append((watch, event))
             elif (key := keys.get(fd)) is not None:
-                wanted = (selectors.EVENT_WRITE if event & ~IN else 0) | (
+                mask = (selectors.EVENT_WRITE if event & ~IN else 0) | (
                     selectors.EVENT_READ if event & ~OUT else 0
                 )
-                ready.append((key, wanted & key.events))
-        for watch, event in told:
+                ready.append((key, mask & key.events))
+        for watch, event in watched:
             if event & ~OUT and watch.on_read is not None:
-                self._tell(watch.on_read)
+                self._run(watch.on_read)
             if event & ~IN and watch.on_write is not None:
-                self._tell(watch.on_write)
+                self._run(watch.on_write)
         return ready
 
     @staticmethod
-    def _tell(callback: Callback) -> None:
+    def _run(callback: Callback) -> None:
         try:
             callback()
-        except Exception:  # a bug costs the connection at hand, never the process
-            log.exception("the news of a socket failed by a bug")
+        except Exception:  # a bug affects only the connection at hand, not the process
+            log.exception("unhandled exception in a socket callback")
 
     def _narrow(self, fd: int, watch: _Watch) -> None:
-        """Tell the kernel that less is wanted. Where it has no memory for that now, it is told before the next
-        look: until then its news is passed over."""
+        """Reduces the events that the kernel reports for a descriptor.
+
+        If the kernel has no memory for the change, it is repeated before the next poll; until then surplus events
+        are ignored.
+        """
         try:
             self._poll.modify(fd, IN if watch.on_read else OUT)
         except OSError:
@@ -96,7 +99,7 @@
                 self._narrow(fd, watch)
 
     def watch(self, fd: int, read: Callback | None, write: Callback | None) -> None:
-        """Tell these of a descriptor's news from here on; None leaves what there is."""
+        """Sets the callbacks of a descriptor; None keeps the current one."""
         watch = self._watches.get(fd)
         if watch is None:
             self._poll.register(fd, (IN if read else 0) | (OUT if write else 0))
@@ -105,10 +108,10 @@
             return
         read, write = read or watch.on_read, write or watch.on_write
         self._poll.modify(fd, (IN if read else 0) | (OUT if write else 0))
-        watch.on_read, watch.on_write = read, write  # only once the kernel knows
+        watch.on_read, watch.on_write = read, write  # only after the kernel has accepted the change
 
     def unwatch(self, fd: int, read: bool) -> bool:
-        """Tell nobody any more of what can be read there, or else of room; whether anybody was told of it."""
+        """Removes the read callback of a descriptor, or else its write callback; returns whether it had one."""
         watch = self._watches.get(fd)
         if watch is None or (watch.on_read if read else watch.on_write) is None:
             return False
@@ -120,56 +123,58 @@
             self._narrow(fd, watch)
         else:
             del self._watches[fd]
-            with suppress(OSError):  # it was closed before: the kernel has forgotten it by itself
+            with suppress(OSError):  # the descriptor was closed before, so the kernel has removed it already
                 self._poll.unregister(fd)
         return True
 
 
 class Loop(asyncio.SelectorEventLoop):
-    """asyncio's loop on such a poller."""
+    """asyncio's event loop on a `_Poller`."""
 
     def __init__(self) -> None:
         self._poller = _Poller()
-        self._signal_handlers: dict[int, Any] = {}  # asked for by `close` also where the next line fails
+        self._signal_handlers: dict[int, Any] = {}  # `close` needs it even if the next line raises
         super().__init__(self._poller)
 
     def add_reader(self, fd: Any, callback: Callable[..., Any], *args: Any) -> None:
-        """As asyncio's, but for what a callback raises: it is logged, and not the exception handler's."""
+        """As in asyncio, except that an exception in the callback is logged and not passed to the exception
+        handler."""
         number = fd if type(fd) is int else fd.fileno()
-        self._poller.watch(number, _bare(callback, args), None)
+        self._poller.watch(number, _without_args(callback, args), None)
 
     def remove_reader(self, fd: Any) -> bool:
-        """As asyncio's, which calls it for its own descriptors too."""
+        """As in asyncio, which also calls it for its own descriptors."""
         number = fd if type(fd) is int else fd.fileno()
         return self._poller.unwatch(number, read=True) or super().remove_reader(fd)
 
     def add_writer(self, fd: Any, callback: Callable[..., Any], *args: Any) -> None:
-        """As asyncio's, but for what a callback raises: it is logged, and not the exception handler's."""
+        """As in asyncio, except that an exception in the callback is logged and not passed to the exception
+        handler."""
         number = fd if type(fd) is int else fd.fileno()
-        self._poller.watch(number, None, _bare(callback, args))
+        self._poller.watch(number, None, _without_args(callback, args))
 
     def remove_writer(self, fd: Any) -> bool:
-        """As asyncio's, which calls it for its own descriptors too."""
+        """As in asyncio, which also calls it for its own descriptors."""
         number = fd if type(fd) is int else fd.fileno()
         return self._poller.unwatch(number, read=False) or super().remove_writer(fd)
 
 
-def _bare(callback: Callable[..., Any], args: tuple[Any, ...]) -> Callback:
+def _without_args(callback: Callable[..., Any], args: tuple[Any, ...]) -> Callback:
     return (lambda: callback(*args)) if args else callback
 
 
 def run(main: Coroutine[Any, Any, None]) -> None:
-    """Run a process's one coroutine to its end, on such a loop."""
-    with asyncio.Runner(loop_factory=_made) as runner:
+    """Runs the main coroutine of a process on a `Loop` until it returns."""
+    with asyncio.Runner(loop_factory=_create_loop) as runner:
         runner.run(main)
 
 
-def _made() -> Loop:
-    """A loop, also where the system has no descriptor or memory to give for a moment."""
-    for _ in range(MAKE_TRIES):
+def _create_loop() -> Loop:
+    """Creates an event loop; retries for a while if the system has no descriptors or memory."""
+    for _ in range(CREATE_TRIES):
         try:
             return Loop()
         except OSError as error:
-            log.warning("cannot make an event loop yet: %s", error)
-            time.sleep(MAKE_PAUSE_S)
+            log.warning("cannot create an event loop yet: %s", error)
+            time.sleep(CREATE_PAUSE_S)
     return Loop()
--- a/tests/test_loop.py
+++ b/tests/test_loop.py
@@ -108,7 +108,7 @@
         await heard.wait()
 
     play(main)
-    assert "the news of a socket failed by a bug" in caplog.text
+    assert "unhandled exception in a socket callback" in caplog.text
 
 
 def test_transports_signals_and_a_closed_descriptor_live_beside_it():
