--- a/benchmarks/sampled.py
+++ b/benchmarks/sampled.py
@@ -31,7 +31,7 @@
     ("net/stream.py", ("send", "_writable"), "write"),
     ("net/stream.py", ("__init__",), "connect"),
     ("net/stream.py", (), "read"),
-    ("net/attempt.py", ("_connect", "_connected", "_up"), "connect"),
+    ("net/attempt.py", ("_connect", "_on_connected", "_use_connection"), "connect"),
     ("net/upstream.py", ("reserve_connection",), "connect"),
     ("net/outcome.py", ("encode",), "write"),
     ("net/attempt.py", ("_write", "_write_last", "_send"), "write"),
--- a/covetally/net/attempt.py
+++ b/covetally/net/attempt.py
@@ -1,15 +1,19 @@
-"""One attempt at a server: it goes out, and exactly one outcome comes back.
-
-An attempt is a state machine driven by its connection's news and by timers; no task waits for it.
-
-    CONNECTING  a connection was asked for                        -> FIRST or LAST once it is up
-    SETTLING    a kept connection was at work a moment ago        -> FIRST or LAST when it has rested SETTLE_S
-    FIRST       all but the last byte is being written            -> HOLDING
-    HOLDING     the last byte waits for a sign of a dead peer     -> LAST
-    LAST        the last byte is being written                    -> RECEIVING: from here on it may have run
-    RECEIVING   the answer is awaited                             -> TAIL, OVER
-    TAIL        an error's head has told all, its rest may come   -> OVER
-    OVER        the outcome is told, or about to be
+"""Sends a request to one server once, and reports exactly one outcome.
+
+An attempt is a state machine driven by events of its connection and by timers; no task waits for it.
+
+    phase       meaning                                           next phase
+    -----       -------                                           ----------
+    CONNECTING  a connection is being established                 FIRST or LAST once it is established
+    SETTLING    a reused connection was in use just before        FIRST or LAST after SETTLE_S without input
+    FIRST       all bytes but the last are being written          DELAYING
+    DELAYING    the last byte is held back, so that a dead        LAST
+                connection is noticed before it is written
+    LAST        the last byte is being written                    RECEIVING; from here on the request may have run
+    RECEIVING   the answer is being received                      TAIL, OVER
+    TAIL        the head of an error answer decided the outcome,  OVER
+                its body is still being received
+    OVER        the outcome is reported, or about to be
 """
 
 from __future__ import annotations
@@ -35,255 +39,257 @@
 
 log = logging.getLogger(__name__)
 
-LEAST_LEFT_NS = 1_000_000  # told as 0.000 s, or as less than nothing, a time would be no time
-TAIL_S = 0.05  # wait for the rest of an error answer, whose head has told all: worth a kept connection
+MIN_REMAINING_NS = 1_000_000  # with less, the server would be given a time of 0.000 s or a negative one
+TAIL_S = 0.05  # how long to wait for the body of an error answer, so that its connection can be reused
 
 
 class Phase(enum.Enum):
-    """How far an attempt has come, which decides what a break proves. See the module's head."""
+    """The phases in the table at the head of this module. The phase decides what a lost connection proves."""
 
     CONNECTING = enum.auto()
     SETTLING = enum.auto()
     FIRST = enum.auto()
-    HOLDING = enum.auto()
+    DELAYING = enum.auto()
     LAST = enum.auto()
     RECEIVING = enum.auto()
     TAIL = enum.auto()
     OVER = enum.auto()
 
 
-CONNECTING, SETTLING, FIRST, HOLDING, LAST, RECEIVING, TAIL, OVER = Phase
+CONNECTING, SETTLING, FIRST, DELAYING, LAST, RECEIVING, TAIL, OVER = Phase
 
 
 class Attempt:
-    """One attempt, from its start to its one outcome."""
+    """One attempt to send a request to a server."""
 
     __slots__ = (
-        "_abandon", "_began_ns", "_bounds", "_done", "_incarnation", "_hold_back_s", "_last", "_owner",
-        "_pause", "_phase", "_reply", "_request", "_reused", "_sent", "_server", "_socket", "_starting",
-        "_stream", "_verdict",
+        "_phase_timer", "_started_ns", "_limits", "_done", "_incarnation", "_last_byte_delay_s", "_last", "_pool",
+        "_abandon_timer", "_phase", "_reply", "_request", "_reused", "_sent", "_server", "_socket", "_deferred",
+        "_stream", "_head_outcome",
     )  # fmt: skip
 
     def __init__(
-        self, owner: ConnectionPool, server: Server | None, request: Request, bounds: AttemptLimits,
+        self, pool: ConnectionPool, server: Server | None, request: Request, limits: AttemptLimits,
         done: Callable[[Outcome], None],
     ) -> None:  # fmt: skip
-        self._owner, self._request, self._done = owner, request, done
-        self._bounds = bounds
+        self._pool, self._request, self._done = pool, request, done
+        self._limits = limits
         self._stream: Stream | None = None
-        self._socket: socket.socket | None = None  # while it connects
-        self._pause: asyncio.TimerHandle | Timer | None = None  # ends CONNECTING, SETTLING, HOLDING and TAIL
-        self._sent = False  # the last byte is the kernel's: from here on it may have run
+        self._socket: socket.socket | None = None  # while the connection is being established
+        # Ends CONNECTING, SETTLING, DELAYING and TAIL.
+        self._phase_timer: asyncio.TimerHandle | Timer | None = None
+        self._sent = False  # the kernel has the last byte, so from here on the request may have run
         self._reused = False
-        self._verdict: How | None = None  # told by an answer's head; nothing after it can change that
-        self._reply = Reply(request, owner.parse_load_report)
+        self._head_outcome: How | None = None  # decided by an answer's head; nothing after it changes that
+        self._reply = Reply(request, pool.parse_load_report)
         self._incarnation = 0
         self._phase = CONNECTING
-        self._abandon: Timer | None = None
-        self._starting = True  # no outcome must be told yet
+        self._abandon_timer: Timer | None = None
+        self._deferred = True  # the outcome must not be reported from within the current call
         if server is None or server.draining:
             self._phase = OVER
-            self._tell(Outcome(How.MOOT if server else How.CONNECT_FAILED, NO_LOAD))
+            self._report(Outcome(How.MOOT if server else How.CONNECT_FAILED, NO_LOAD))
             return
         self._server = server
         server.unsent.add(self)
-        self._began_ns = time.monotonic_ns()
-        self._abandon = owner.wheel.call_at(owner.clock.loop_time(bounds.abandon_ns), self._abandoned)
+        self._started_ns = time.monotonic_ns()
+        self._abandon_timer = pool.wheel.call_at(pool.clock.loop_time(limits.abandon_ns), self._time_out)
         try:
-            self._begin()
+            self._start()
         except Exception:
-            log.exception("an attempt failed by a bug")
-            self._end(How.RESET)
-        self._starting = False
+            log.exception("unhandled exception in an attempt")
+            self._fail(How.RESET)
+        self._deferred = False
 
-    # --- before it may have run -----------------------------------------------------------------
+    # --- before the request may have run --------------------------------------------------------
 
-    def _begin(self) -> None:
-        rested = self._owner.take_idle(self._server)
-        if rested is None:
+    def _start(self) -> None:
+        idle = self._pool.take_idle(self._server)
+        if idle is None:
             self._connect()
             return
-        self._stream, rest_s, settling_s = rested
-        self._stream.on_news, self._stream.on_room = self._news, self._room
+        self._stream, idle_s, settle_s = idle
+        self._stream.on_news, self._stream.on_room = self._on_input, self._on_flushed
         self._reused = True
         self._incarnation = self._server.incarnation
-        if settling_s > 0:
+        if settle_s > 0:
             self._phase = SETTLING
-            self._wait(settling_s, partial(self._write, self._owner.last_byte_delay_s(rest_s)))
+            self._schedule(settle_s, partial(self._write, self._pool.last_byte_delay_s(idle_s)))
         else:
-            # `take_idle` has looked at it in this very moment: nothing has run since.
-            self._write(self._owner.last_byte_delay_s(rest_s), looked=True)
+            # `take_idle` has just checked the connection, and no callback has run since.
+            self._write(self._pool.last_byte_delay_s(idle_s), checked=True)
 
-    def _wait(self, seconds: float, then: Callable[[], None]) -> None:
-        self._pause = self._owner.loop.call_later(seconds, then)
+    def _schedule(self, seconds: float, then: Callable[[], None]) -> None:
+        self._phase_timer = self._pool.loop.call_later(seconds, then)
 
     def _connect(self) -> None:
-        owner, address = self._owner, self._server.address
+        pool, address = self._pool, self._server.address
         self._phase = CONNECTING
         self._incarnation = self._server.incarnation
-        if not owner.reserve_connection():
-            self._end(How.MOOT)  # it says nothing of the server
+        if not pool.reserve_connection():
+            self._fail(How.MOOT)  # this does not indicate a fault of the server
             return
         try:
             self._socket = sock = unconnected(address)
         except OSError as failure:
-            owner.release_connection()
-            self._end(owner.classify_connect_error(self._server, failure.errno))
+            pool.release_connection()
+            self._fail(pool.classify_connect_error(self._server, failure.errno))
             return
         error = sock.connect_ex(address)
         if error == errno.EINPROGRESS:
             self._await_connection(sock)
         elif error:
-            self._end(owner.classify_connect_error(self._server, error))
+            self._fail(pool.classify_connect_error(self._server, error))
         else:
-            self._up()
+            self._use_connection()
 
     def _await_connection(self, sock: socket.socket) -> None:
-        owner = self._owner
+        pool = self._pool
         try:
-            owner.loop.add_writer(sock.fileno(), self._connected)
+            pool.loop.add_writer(sock.fileno(), self._on_connected)
         except OSError as failure:
-            self._end(owner.classify_connect_error(self._server, failure.errno))
+            self._fail(pool.classify_connect_error(self._server, failure.errno))
             return
-        self._pause = owner.wheel.call_at(owner.loop.time() + owner.connect_timeout_s, self._no_connection)
+        self._phase_timer = pool.wheel.call_at(pool.loop.time() + pool.connect_timeout_s, self._connect_timed_out)
 
-    def _connected(self) -> None:
-        """The connection has come up, or failed."""
+    def _on_connected(self) -> None:
+        """Handles the result of a connect: success or failure."""
         sock = self._socket
         assert sock is not None
         try:
             error = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
         except OSError:
-            error = 0  # what is written to it will tell
+            error = 0  # a failed connection shows when the request is written
         if error:
-            self._end(How.CONNECT_FAILED)
+            self._fail(How.CONNECT_FAILED)
             return
-        self._owner.loop.remove_writer(sock.fileno())
-        self._unwait()
-        self._up()
+        self._pool.loop.remove_writer(sock.fileno())
+        self._cancel_phase_timer()
+        self._use_connection()
 
-    def _up(self) -> None:
+    def _use_connection(self) -> None:
         sock = self._socket
         assert sock is not None
         try:
-            self._stream = Stream(httptools.HttpResponseParser, sock, self._news, self._room)
+            self._stream = Stream(httptools.HttpResponseParser, sock, self._on_input, self._on_flushed)
         except OSError as failure:
-            self._end(self._owner.classify_connect_error(self._server, failure.errno))
+            self._fail(self._pool.classify_connect_error(self._server, failure.errno))
             return
         self._socket = None
-        self._owner.record_connected(self._server)
+        self._pool.record_connected(self._server)
         self._write(0.0)
 
-    def _no_connection(self) -> None:
-        """The time for a connection is over. One that the kernel has up is no fault of the server's."""
-        self._end(How.MOOT if self._came_up() else How.CONNECT_FAILED)
+    def _connect_timed_out(self) -> None:
+        """Handles the connect timeout. A connection that the kernel has established is no fault of the server."""
+        self._fail(How.MOOT if self._established() else How.CONNECT_FAILED)
 
-    def _came_up(self) -> bool:
+    def _established(self) -> bool:
         return self._socket is not None and tcp_info(self._socket)[0]
 
-    def _write(self, hold_back_s: float, looked: bool = False) -> None:
-        """Write the request, the last byte last: before it nothing has run, whatever happens. `looked` spares the
-        look at a connection that was found in order just now."""
-        self._pause = None
-        left_ns = self._bounds.abandon_ns - self._owner.clock.now()
-        if left_ns < LEAST_LEFT_NS or not self._bounds.client_connected():
-            self._end(How.MOOT)  # this process is late, or nobody is left to have the answer
+    def _write(self, last_byte_delay_s: float, checked: bool = False) -> None:
+        """Writes the request, or all but its last byte: as long as that is missing, the request cannot have run.
+        `checked` says that the connection has just been checked for unexpected input."""
+        self._phase_timer = None
+        remaining_ns = self._limits.abandon_ns - self._pool.clock.now()
+        if remaining_ns < MIN_REMAINING_NS or not self._limits.client_connected():
+            self._fail(How.MOOT)  # this process is late, or the client has left
             return
-        data = self._request.encode(left_ns / 1e9)
-        if not hold_back_s:
+        data = self._request.encode(remaining_ns / 1e9)
+        if not last_byte_delay_s:
             self._last = data
-            self._write_last(looked)
+            self._write_last(checked)
             return
-        # A dead connection answers the first bytes with a reset; met now, it still proves "never ran".
-        self._last, self._hold_back_s = data[-1:], hold_back_s
+        # A dead connection answers the first bytes with a reset, which still proves that the request never ran.
+        self._last, self._last_byte_delay_s = data[-1:], last_byte_delay_s
         self._phase = FIRST
         if self._send(data[:-1]):
-            self._hold()
+            self._delay_last_byte()
 
-    def _hold(self) -> None:
-        self._phase = HOLDING
-        self._wait(self._hold_back_s, self._write_last)
+    def _delay_last_byte(self) -> None:
+        self._phase = DELAYING
+        self._schedule(self._last_byte_delay_s, self._write_last)
 
-    def _write_last(self, looked: bool = False) -> None:
-        self._pause = None
+    def _write_last(self, checked: bool = False) -> None:
+        self._phase_timer = None
         stream = self._stream
         assert stream is not None
-        if not looked and stream.disturbed():
-            self._unfit()
+        if not checked and stream.disturbed():
+            self._connection_unusable()
             return
         if self._server.draining:
-            self._end(
+            self._fail(
                 How.MOOT
-            )  # `on_server_draining` is about to be called: what has come first must not be written
+            )  # the update is applied already, though `on_server_draining` is still to be called
             return
-        begin_by_ns = self._bounds.begin_by_ns
-        if begin_by_ns and self._owner.clock.now() >= begin_by_ns:
-            self._end(How.MOOT)  # its connection took too long to come up
+        begin_by_ns = self._limits.begin_by_ns
+        if begin_by_ns and self._pool.clock.now() >= begin_by_ns:
+            self._fail(How.MOOT)  # establishing the connection took too long
             return
         self._phase = LAST
         if self._send(self._last):
-            self._written()
+            self._on_written()
 
     def _send(self, data: bytes) -> bool:
         assert self._stream is not None
         try:
             return self._stream.send(data)
         except Broken:
-            self._unfit()
+            self._connection_unusable()
             return False
 
-    def _room(self) -> None:
-        """What was written is the kernel's."""
+    def _on_flushed(self) -> None:
+        """Called when the kernel has taken everything that was written."""
         if self._phase is FIRST:
-            self._hold()
+            self._delay_last_byte()
         elif self._phase is LAST:
-            self._written()
+            self._on_written()
 
-    def _written(self) -> None:
+    def _on_written(self) -> None:
         self._sent = True
         self._phase = RECEIVING
         self._server.unsent.discard(self)
 
-    def _unfit(self) -> None:
-        """The connection cannot have the last byte, or said something before it was written."""
+    def _connection_unusable(self) -> None:
+        """Handles a connection that broke, or on which the server sent something, before the last byte was
+        written."""
         stream = self._stream
         assert stream is not None
-        self._unwait()
+        self._cancel_phase_timer()
         if self._reused:
-            # Its last byte was never written: going on with a new connection is the same attempt.
-            self._owner.record_broken_idle()
-            self._drop()
+            # The last byte was never written, so the same attempt continues on a new connection.
+            self._pool.record_broken_idle()
+            self._close_connection()
             self._reused = False
             self._connect()
-        elif stream.leftover:  # it spoke before it had the whole request: it may turn it away
+        elif stream.leftover:  # the server answered before it had the whole request, and may have rejected it
             self._phase = RECEIVING
             self._receive()
         else:
-            self._end(How.RESET)
+            self._fail(How.RESET)
 
     def shorten_timeout(self, at_ns: int) -> None:
-        """Be given up at `at_ns` on the owner's clock, if that is earlier than what it was to keep to."""
-        if self._phase is OVER or at_ns >= self._bounds.abandon_ns:
+        """Gives the attempt up at `at_ns` on the pool's clock, if that is earlier than the current limit."""
+        if self._phase is OVER or at_ns >= self._limits.abandon_ns:
             return
-        self._bounds = self._bounds._replace(abandon_ns=at_ns)
-        if self._abandon is not None:
-            self._abandon.cancel()
-        self._abandon = self._owner.wheel.call_at(self._owner.clock.loop_time(at_ns), self._abandoned)
+        self._limits = self._limits._replace(abandon_ns=at_ns)
+        if self._abandon_timer is not None:
+            self._abandon_timer.cancel()
+        self._abandon_timer = self._pool.wheel.call_at(self._pool.clock.loop_time(at_ns), self._time_out)
 
     def on_server_draining(self) -> None:
-        """The server wants nothing new any more. That says nothing against it."""
+        """Ends an unsent attempt because the server accepts no new requests. This does not count against it."""
         if not self._sent and self._server.draining:
-            self._end(How.MOOT)
+            self._fail(How.MOOT)
 
     # --- the answer -----------------------------------------------------------------------------
 
-    def _news(self) -> None:
+    def _on_input(self) -> None:
         if self._phase is RECEIVING:
             self._receive()
         elif self._phase is TAIL:
-            self._read_tail()
+            self._receive_tail()
         elif self._phase is not OVER:
-            self._unfit()
+            self._connection_unusable()
 
     def _receive(self) -> None:
         stream = self._stream
@@ -291,139 +297,140 @@
         try:
             while parts := stream.parts():
                 while parts:
-                    come = self._reply.take(parts.popleft(), self._sent)
-                    if come is not None:
-                        self._came(come)
+                    result = self._reply.take(parts.popleft(), self._sent)
+                    if result is not None:
+                        self._on_result(result)
                         return
         except Malformed as error:
-            # Guards against any answer that cannot be told to be whole and this request's own. A connection
-            # that ends inside an answer is no spoilt answer but a reset.
-            log.warning("answer not usable: %.200s", error)
-            self._end(How.RESET if stream.ended else How.SPOILT)
+            # Rejects any answer that is not certain to be complete and to belong to this request. A connection
+            # that ends inside an answer counts as a reset, not as an invalid answer.
+            log.warning("unusable answer: %.200s", error)
+            self._fail(How.RESET if stream.ended else How.SPOILT)
         except OSError:
-            self._end(How.RESET)
+            self._fail(How.RESET)
 
     def _lag_ns(self) -> int:
         assert self._stream is not None
-        return max(0, self._stream.received_at - self._began_ns)
+        return max(0, self._stream.received_at - self._started_ns)
 
-    def _came(self, come: Come) -> None:
-        """All that counts of the answer is here."""
+    def _on_result(self, result: Come) -> None:
+        """Handles the result of an answer, once everything that matters of it has arrived."""
         stream = self._stream
         assert stream is not None
-        if come.how in (How.FULL, How.ERROR):
-            # The head has told all; its rest is worth a short wait, for the sake of the connection.
-            self._verdict = come.how
+        if result.how in (How.FULL, How.ERROR):
+            # The head has decided the outcome. A short wait for the body makes the connection reusable.
+            self._head_outcome = result.how
             self._phase = TAIL
-            self._wait(TAIL_S, self._end_tail)
-            self._read_tail()
+            self._schedule(TAIL_S, self._end_tail)
+            self._receive_tail()
             return
-        answer, lag_ns = come.answer, self._lag_ns()
+        answer, lag_ns = result.answer, self._lag_ns()
         assert answer is not None
         if answer.status == SWITCHED:
             sock, early = stream.detach()
             self._stream = None
-            self._owner.release_connection()
+            self._pool.release_connection()
             answer = answer._replace(switched=Switched(sock, early))
-        elif come.how is How.OK:
-            self._give_back()
-        self._finish(Outcome(come.how, self._reply.load, answer, lag_ns))
+        elif result.how is How.OK:
+            self._return_connection()
+        self._finish(Outcome(result.how, self._reply.load, answer, lag_ns))
 
-    def _read_tail(self) -> None:
+    def _receive_tail(self) -> None:
         stream = self._stream
         assert stream is not None
         try:
             while parts := stream.parts():
                 part = parts.popleft()
                 if part is End.MESSAGE:
-                    self._give_back()
+                    self._return_connection()
                 if type(part) is not bytes:
                     self._end_tail()
                     return
         except Malformed as error:
-            log.warning("answer not usable: %.200s", error)
+            log.warning("unusable answer: %.200s", error)
             self._end_tail()
         except OSError:
             self._end_tail()
 
     def _end_tail(self) -> None:
-        assert self._verdict is not None
+        assert self._head_outcome is not None
         lag_ns = self._lag_ns() if self._stream is not None else 0
-        self._finish(Outcome(self._verdict, self._reply.load, None, lag_ns))
+        self._finish(Outcome(self._head_outcome, self._reply.load, None, lag_ns))
 
-    def _give_back(self) -> None:
-        """Keep the connection of a finished exchange if it may carry another."""
+    def _return_connection(self) -> None:
+        """Returns the connection of a finished exchange to the idle pool if it may be reused."""
         stream, server = self._stream, self._server
         assert stream is not None
         if self._sent and not server.draining and self._incarnation == server.incarnation and stream.recycle():
             self._stream = None
-            self._owner.add_idle(server, stream)
+            self._pool.add_idle(server, stream)
 
     # --- the end --------------------------------------------------------------------------------
 
     def cancel(self) -> None:
-        """Call it off: its connection is closed now, its outcome told soon."""
+        """Cancels the attempt: its connection is closed now, and its outcome is reported soon."""
         if self._phase is not OVER:
-            self._starting = True
+            self._deferred = True
             self._finish(Outcome(How.CANCELLED, self._reply.load))
 
-    def _abandoned(self) -> None:
-        """Its time is up. That says of the server only what the sockets show, never how late this process ran.
+    def _time_out(self) -> None:
+        """Gives the attempt up. The outcome depends only on the state of the sockets, not on how late this
+        process runs.
 
-        Guards against a process short of CPU that takes its own delay for its servers': a connection that
-        the kernel has up, or an answer that lies there unread, is no fault of theirs, and one server after
-        the other went out when it was held against them. It ought to catch any pause of this process, be it
-        a slow disk under its log, a machine stopped for a while, or a neighbour on its core. It could do
-        harm with a server whose answers always come in the very last moment: it would not be blamed.
+        Guards against a process short of CPU that blames its servers for its own delay: a connection that the
+        kernel has established, or an answer that has arrived but was not read, is no fault of the server. When
+        these counted as failures, one server after the other was excluded. The rule covers any pause of this
+        process, such as a slow disk under its log, a stopped machine or a busy neighbour on the same core. It
+        does harm with a server whose answers always arrive at the very last moment: that server is not blamed.
         """
         stream = self._stream
         if self._sent:
             how = How.CANCELLED if stream is not None and stream.disturbed() else How.TIMEOUT
         else:
-            connecting = self._socket is not None and not self._came_up()
+            connecting = self._socket is not None and not self._established()
             how = How.CONNECT_FAILED if connecting else How.MOOT
-        self._end(how)
+        self._fail(how)
 
-    def _end(self, how: How) -> None:
-        """It has failed: tell what that proves."""
+    def _fail(self, how: How) -> None:
+        """Ends the attempt after a failure, with the outcome that the failure proves."""
         if self._phase is OVER:
             return
         if how is How.RESET and self._reused and not self._reply.answered:
-            self._owner.record_broken_idle()
-        if self._verdict is not None:
-            how = self._verdict
+            self._pool.record_broken_idle()
+        if self._head_outcome is not None:
+            how = self._head_outcome
         elif not self._sent and how is not How.MOOT:
             how = How.CONNECT_FAILED
         self._finish(Outcome(how, self._reply.load))
 
     def _finish(self, outcome: Outcome) -> None:
         self._phase = OVER
-        self._unwait()
-        if self._abandon is not None:
-            self._abandon.cancel()
+        self._cancel_phase_timer()
+        if self._abandon_timer is not None:
+            self._abandon_timer.cancel()
         self._server.unsent.discard(self)
-        self._drop()
-        self._tell(outcome)
+        self._close_connection()
+        self._report(outcome)
 
-    def _tell(self, outcome: Outcome) -> None:
-        if self._starting:
-            self._owner.loop.call_soon(self._done, outcome)
+    def _report(self, outcome: Outcome) -> None:
+        if self._deferred:
+            self._pool.loop.call_soon(self._done, outcome)
         else:
             self._done(outcome)
 
-    def _unwait(self) -> None:
-        if self._pause is not None:
-            self._pause.cancel()
-            self._pause = None
+    def _cancel_phase_timer(self) -> None:
+        if self._phase_timer is not None:
+            self._phase_timer.cancel()
+            self._phase_timer = None
 
-    def _drop(self) -> None:
-        """Close what there is of a connection."""
+    def _close_connection(self) -> None:
+        """Closes the connection or the socket that is being connected, if there is one."""
         if self._socket is not None:
             sock, self._socket = self._socket, None
-            self._owner.loop.remove_writer(sock.fileno())
+            self._pool.loop.remove_writer(sock.fileno())
             sock.close()
-            self._owner.release_connection()
+            self._pool.release_connection()
         if self._stream is not None:
             stream, self._stream = self._stream, None
             stream.abort()
-            self._owner.release_connection()
+            self._pool.release_connection()
--- a/covetally/net/upstream.py
+++ b/covetally/net/upstream.py
@@ -1,4 +1,4 @@
-"""Connections to the servers: who listens where, what rests and for how long, how many there may be."""
+"""The pool of connections to all servers: addresses, idle connections and the limit on open connections."""
 
 from __future__ import annotations
 
@@ -19,19 +19,17 @@
 
 log = logging.getLogger(__name__)
 
-IDLE_FRACTION = 0.9  # of the servers' idle time: a request must not meet their close on its way
-LONG_IDLE_S = 0.5  # a connection that rested so long may be dead without a sign
-LAST_BYTE_DELAY_S = 0.015  # the last byte waits so long on such a one: a round trip between data centres and some
-DISTRUST_S = 10.0  # connections are not trusted for so long after one broke when it was used again,
-DISTRUST_LAST_BYTE_DELAY_S = (
-    0.003  # and the last byte waits so long on each: about a round trip within a data centre
-)
-LOCAL_FAILURE_LIMIT = 3  # of this machine's in a row, at one server alone, count against it
-SETTLE_S = 0.001  # a connection is used again no sooner: what comes right behind an answer must show first
+IDLE_FRACTION = 0.9  # of the servers' idle timeout, so that no request is sent while the server closes
+LONG_IDLE_S = 0.5  # a connection that was idle for longer may be dead without a sign
+LAST_BYTE_DELAY_S = 0.015  # on such a connection: a round trip between data centres, with a margin
+DISTRUST_S = 10.0  # after an idle connection broke when it was reused, no idle connection is trusted for so long
+DISTRUST_LAST_BYTE_DELAY_S = 0.003  # meanwhile, on every reused connection: a round trip within a data centre
+LOCAL_FAILURE_LIMIT = 3  # local connect errors in a row, at one server only, after which they count against it
+SETTLE_S = 0.001  # a connection is not reused sooner, so that surplus bytes after an answer are noticed first
 
 
 class Upstream:
-    """All servers by the name that the module uses; only here is it known where they listen."""
+    """The connection pool. It alone knows which address belongs to a server's name."""
 
     def __init__(self, settings: Settings, load_fields: frozenset[str], clock: Clock, limit: int) -> None:
         self.loop = asyncio.get_running_loop()
@@ -40,54 +38,57 @@
         self.wheel = clock.wheel
         self._open_count = 0
         self._distrust_until = 0.0
-        self._came_up_at = 0.0  # when a connection last did
+        self._connected_at = 0.0  # when the last connection was established
         self._servers: dict[str, Server] = {}
         self.apply_settings(settings, limit)
 
     def apply_settings(self, settings: Settings, limit: int) -> None:
-        """Keep to these from here on."""
+        """Applies changed settings and the limit on open connections."""
         self._limit = limit
         self._idle_s = settings.limits.conn_idle_ns / 1e9 * IDLE_FRACTION
         self.connect_timeout_s = settings.limits.connect_timeout_ns / 1e9
 
     @property
     def connections(self) -> int:
-        """How many connections to servers are open or coming up."""
+        """The number of connections to servers that are open or being established."""
         return self._open_count
 
     def addresses(self) -> list[tuple[str, Address]]:
-        """The servers that are listed, and where."""
+        """Returns the names and addresses of the servers on the list."""
         return [(name, server.address) for name, server in self._servers.items()]
 
-    # --- the list -------------------------------------------------------------------------------
+    # --- the server list ------------------------------------------------------------------------
 
     def update(self, entries: list[tuple[Entry, Address]], full: bool) -> None:
-        """An update of service discovery, with each server's address."""
-        gone = self._servers.keys() - {entry.server for entry, _ in entries} if full else set()
+        """Applies an update of the server list; `full` means that servers not in it were removed."""
+        removed = self._servers.keys() - {entry.server for entry, _ in entries} if full else set()
         for entry, address in entries:
             server = self._servers.setdefault(entry.server, Server(address, entry.started_ns))
             if (address, entry.started_ns) != (server.address, server.started_ns):
-                # Another process listens there now: its predecessor's connections lead nowhere.
+                # A new process serves this name: connections to its predecessor are of no use.
                 server.address, server.started_ns = address, entry.started_ns
                 server.incarnation += 1
                 self._close_idle(server)
             if entry.lifecycle == "removed":
-                gone.add(entry.server)
+                removed.add(entry.server)
             elif entry.lifecycle == "up":
                 server.draining = False
             else:
-                self._leave(server)
-        for name in gone:
-            self._leave(self._servers.pop(name))  # an attempt under way still holds it, nothing else does
+                self._drain(server)
+        for name in removed:
+            self._drain(self._servers.pop(name))  # only attempts in progress still refer to it
 
-    def _leave(self, server: Server) -> None:
-        """What is not written yet goes elsewhere. That it may have counted as told for a while already, and how
-        long a connection would still take to come up, are no questions then."""
+    def _drain(self, server: Server) -> None:
+        """Sends nothing new to a server.
+
+        Attempts that are not completely written are ended, so that their requests go to other servers. This does
+        not depend on when the drain counts as notified or how long a connection would still take to establish.
+        """
         self._close_idle(server)
         if not server.draining:
             server.draining = True
             for attempt in server.unsent:
-                self.loop.call_soon(attempt.on_server_draining)  # the module has the same news by then
+                self.loop.call_soon(attempt.on_server_draining)  # the policy has the same update by then
 
     # --- connections ----------------------------------------------------------------------------
 
@@ -96,37 +97,45 @@
             self._drop(server, next(iter(server.idle)))
 
     def _drop(self, server: Server, stream: Stream) -> None:
-        """Close an idle connection."""
+        """Closes an idle connection."""
         del server.idle[stream]
         stream.on_news = unwanted
         stream.abort()
         self._open_count -= 1
 
     def add_idle(self, server: Server, stream: Stream) -> None:
-        """Take the connection of a finished exchange to rest, for less time than the server would."""
+        """Adds the connection of a finished exchange to the idle pool. It is closed before the server's own idle
+        timeout."""
         now = self.loop.time()
         server.idle[stream] = now
         stream.on_room = unwanted
-        # Bytes that come now were asked for by nobody: they must never become the next request's answer.
+        # Bytes that arrive now belong to no request and must not be read as the next request's answer.
         stream.on_news = partial(self._drop, server, stream)
         if server.idle_timer is None:
-            server.idle_timer = self.wheel.call_at(now + self._idle_s, partial(self._swept, server))
+            server.idle_timer = self.wheel.call_at(now + self._idle_s, partial(self._close_expired, server))
+
+    def _close_expired(self, server: Server) -> None:
+        """Closes connections that were idle for too long, and schedules itself for the next one.
 
-    def _swept(self, server: Server) -> None:
-        """Close what has rested its time, and come again for the next. One timer for all that rest there: one for
-        each would be set and cancelled with every request."""
+        There is one timer for all idle connections of a server, because a timer for each would be set and
+        cancelled with every request.
+        """
         server.idle_timer = None
         now = self.loop.time()
         while server.idle:
             stream, since = next(iter(server.idle.items()))
             if since + self._idle_s > now:
-                server.idle_timer = self.wheel.call_at(since + self._idle_s, partial(self._swept, server))
+                server.idle_timer = self.wheel.call_at(since + self._idle_s, partial(self._close_expired, server))
                 return
             self._drop(server, stream)
 
     def take_idle(self, server: Server) -> tuple[Stream, float, float] | None:
-        """The connection in order that rested least of those that have settled, and for how long it did; where
-        none has settled, the one that is nearest to it, and for how long it has to settle yet."""
+        """Takes a usable idle connection out of the pool; None if there is none.
+
+        Returns the connection, the time that it was idle, and the time until it may be used. Of the connections
+        that have been idle for SETTLE_S or longer it is the one that was idle for the shortest time; if there is
+        none, the one that reaches SETTLE_S first.
+        """
         idle, now = server.idle, self.loop.time()
         while idle:
             settled_at = now - SETTLE_S
@@ -144,67 +153,76 @@
         return None
 
     def reserve_connection(self) -> bool:
-        """A place for a new connection; False if all are at work. The one that has rested longest makes room."""
+        """Reserves one of the limited number of connections; returns False if all are in use. At the limit the
+        connection that has been idle for the longest time is closed."""
         if self._open_count >= self._limit:
-            holding = [server for server in self._servers.values() if server.idle]
-            if not holding:
+            servers_with_idle = [server for server in self._servers.values() if server.idle]
+            if not servers_with_idle:
                 return False
-            oldest = min(holding, key=lambda server: next(iter(server.idle.values())))
+            oldest = min(servers_with_idle, key=lambda server: next(iter(server.idle.values())))
             self._drop(oldest, next(iter(oldest.idle)))
         self._open_count += 1
         return True
 
     def release_connection(self) -> None:
-        """A connection has gone, or did not come up."""
+        """Releases a reserved connection that was closed or not established."""
         self._open_count -= 1
 
     def classify_connect_error(self, server: Server, error: int | None) -> How:
-        """What a dial that failed at once with this errno proves.
+        """Returns the outcome for a connect that failed at once with this errno.
 
-        A lack of this machine's own (descriptors, memory, ports, a route) says nothing of the server. Guards
-        against a moment in which all dials fail here and every server is put into backoff for it. Where dials to
-        one server go on failing so while others come up, the lack is on the way to that server, and counts."""
+        A lack of resources on this machine (descriptors, memory, ports, a route) does not indicate a fault of the
+        server. Otherwise every server would be put into backoff at a moment in which all connects fail here. If
+        connects to one server keep failing in this way while others succeed, the cause is on the path to that
+        server, and the failures count against it.
+        """
         if error not in LOCAL_CONNECT_ERRORS:
             return How.CONNECT_FAILED
         if not server.local_failures:
             server.local_failures_since = self.loop.time()
         server.local_failures += 1
-        alone = server.local_failures >= LOCAL_FAILURE_LIMIT and self._came_up_at > server.local_failures_since
-        return How.CONNECT_FAILED if alone else How.MOOT
+        only_here = (
+            server.local_failures >= LOCAL_FAILURE_LIMIT and self._connected_at > server.local_failures_since
+        )
+        return How.CONNECT_FAILED if only_here else How.MOOT
 
     def record_connected(self, server: Server) -> None:
-        """A connection to it has come up."""
+        """Records that a connection to the server was established."""
         server.local_failures = 0
-        self._came_up_at = self.loop.time()
+        self._connected_at = self.loop.time()
 
     def record_broken_idle(self) -> None:
-        """A kept connection broke when it was used again: trust none of them for a while."""
+        """Records that an idle connection broke when it was reused: none is trusted for DISTRUST_S."""
         self._distrust_until = self.loop.time() + DISTRUST_S
 
-    def last_byte_delay_s(self, rest_s: float) -> float:
-        """How long the last byte of a request waits for a sign that its kept connection is dead.
+    def last_byte_delay_s(self, idle_s: float) -> float:
+        """Returns how long the last byte of a request is held back on a connection that was idle for `idle_s`.
 
-        Guards against connections that servers, or what stands between, drop without a word or a moment too
-        late: such a one answers the first bytes with a reset, and as long as the last byte is not written,
-        the request has not run and may go on another. It costs each request that time, so it is done on
-        connections that rested long, and on all only while some have been seen to break.
+        Guards against idle connections that servers or middleboxes drop silently, or close while a request is on
+        its way. A dead connection answers the first bytes with a reset, and as long as the last byte is not
+        written, the request has not run and may be sent on another connection. The delay adds to the latency of
+        the request, so it applies only to connections that were idle for long, and to all reused connections only
+        while some have recently been seen to break.
         """
-        if rest_s >= LONG_IDLE_S:
+        if idle_s >= LONG_IDLE_S:
             return LAST_BYTE_DELAY_S
         return DISTRUST_LAST_BYTE_DELAY_S if self.loop.time() < self._distrust_until else 0.0
 
     # --- attempts -------------------------------------------------------------------------------
 
     def attempt(
-        self, name: str, request: Request, bounds: AttemptLimits, done: Callable[[Outcome], None]
+        self, name: str, request: Request, limits: AttemptLimits, done: Callable[[Outcome], None]
     ) -> Attempt:
-        """Send the request once. `done` is told how it ended, once and never from within this call or `cancel`.
-        Its connection is closed before any failure is told, so that the module never starts a second copy while
-        the first is still out."""
-        return Attempt(self, self._servers.get(name), request, bounds, done)
+        """Sends the request once. `done` is called once with the outcome, but never from within this call or from
+        within `cancel`.
+
+        The connection is closed before a failure is reported, so that the policy never starts a second copy while
+        the first may still run.
+        """
+        return Attempt(self, self._servers.get(name), request, limits, done)
 
     def parse_load_report(self, text: bytes) -> Load:
-        """A load report, empty if it cannot be read."""
+        """Parses a load report; returns an empty one if it is malformed."""
         load: dict[str, float] = {}
         form, _, pairs = text.decode("latin-1").partition(" ")
         for pair in pairs.split(","):
@@ -214,7 +232,7 @@
             except ValueError:
                 number = math.nan
             if form != "TEXT" or not equals or not math.isfinite(number):
-                log.warning("load report ignored: %.100r", text)
+                log.warning("ignored a malformed load report: %.100r", text)
                 return NO_LOAD
             if name in self._load_fields:
                 load[name] = number
