--- a/covetally/net/sidecar.py
+++ b/covetally/net/sidecar.py
@@ -1,6 +1,6 @@
-"""Drives the module: what happens on sockets becomes its events, its actions happen on sockets.
+"""Connects the balancer to the sockets: translates socket events into its events, and carries out its actions.
 
-Nothing is decided here. Each request taken gets exactly one final answer, each attempt exactly one outcome.
+No decision is made here. Each accepted request gets exactly one final answer, each attempt exactly one outcome.
 """
 
 from __future__ import annotations
@@ -48,12 +48,12 @@
 
 log = logging.getLogger(__name__)
 
-OVERDUE_NS = 10_000_000  # an answer that the module still owes so long after the deadline is given for it,
-SWEEP_S = 0.02  # at the latest so long after that
+OVERDUE_NS = 10_000_000  # a request without an answer so long after its deadline is answered without the balancer
+SWEEP_S = 0.02  # how often that is checked
 
 
 class RequestInfo(NamedTuple):
-    """What the module is told of a request whose head was read; see `Accept`."""
+    """The attributes of a request that the balancer needs, read from its head; see `Accept`."""
 
     cls: int
     ttl_ns: int
@@ -65,50 +65,50 @@
 
 
 class RequestObserver(Protocol):
-    """What knows requests beside the module: the fleet's overload line (covetally/overload)."""
+    """An observer of all requests beside the balancer: fleet-wide load shedding (covetally/overload)."""
 
     def place(self, name: bytes, cls: int, tenant: int, retry: bool) -> float:
-        """A request's place in the fleet's one order."""
+        """Returns a request's priority, on one scale for the whole fleet."""
 
     def outcome(self, event: Response, cls: int) -> None:
-        """How an attempt ended."""
+        """Called when an attempt has ended."""
 
     def ended(self, served: bool) -> None:
-        """How a request ended."""
+        """Called when a request is finished; `served` says whether its answer was a 200."""
 
 
 class Exchange(Protocol):
-    """A client's request and the way back to that client."""
+    """A client's request, and the means to answer it."""
 
     @property
     def request(self) -> Request: ...
 
     @property
     def trace_id(self) -> bytes:
-        """The id that its client gave it."""
+        """The id that the client gave the request."""
 
     def client_connected(self) -> bool:
-        """Whether its client is still there; one that has left is hung up."""
+        """Returns whether the client is still connected. If it has left, the request is cancelled."""
 
     def finish(self, answer: Answer) -> None:
-        """Give the whole answer."""
+        """Sends the complete answer to the client."""
 
 
 @dataclass(slots=True, eq=False)
 class _Call:
-    """A request that is owed an answer, or whose attempts are still out."""
+    """A request that is owed an answer, or that has attempts without an outcome."""
 
     exchange: Exchange
     cls: int
     deadline_ns: int
     attempts: dict[int, Attempt] = field(default_factory=dict)
-    sent: int = 0
-    ran_at_ns: int = 0  # when the first attempt began that may have run; 0: none
-    over: bool = False
+    sent: int = 0  # the number of attempts so far
+    ran_at_ns: int = 0  # when the first attempt that may have run was started; 0: none
+    over: bool = False  # the final answer was given, or the client has left
 
 
 class Sidecar:
-    """One balancer and the sockets round it."""
+    """A balancer with the sockets that it controls."""
 
     def __init__(
         self,
@@ -127,60 +127,60 @@
         self._calls: dict[str, _Call] = {}
         self._accepted = 0
         self._sweep: Timer | None = None
-        self.on_outcome: Callable[[str, How], None] | None = None  # server, how an attempt there ended
-        # the same, and the class of the call and when the attempt was sent
+        # Called with the server and the outcome of each attempt.
+        self.on_outcome: Callable[[str, How], None] | None = None
+        # Called with the server, the outcome, the class of the call and the start time of the attempt.
         self.on_attempt: Callable[[str, How, int, int], None] | None = None
         self.observer: RequestObserver | None = None
-        self.on_completed: Callable[[int, Answer | None], None] | None = (
-            None  # class, answer; None: the client left
-        )
+        # Called with the class and the final answer of each request; None: the client has left.
+        self.on_completed: Callable[[int, Answer | None], None] | None = None
         self.violations = Violations()
         self._classes = settings.classes
-        self.tracing = False  # each attempt and each answer is logged, at DEBUG
-        self._shutdown_ns = 0  # when the last answer is to be given, once the process is told to end; 0 before
+        self.tracing = False  # log each attempt and each answer at DEBUG
+        self._shutdown_ns = 0  # during shutdown: when the last answer is due; 0 before
         self._balancer = Balancer(settings, seed, clock.now())
 
     def apply_settings(self, settings: Settings) -> None:
-        """Other figures for the same classes, from here on."""
+        """Applies changed settings; the classes themselves must be the same."""
         self._classes = settings.classes
         self._balancer.retune(settings)
 
     def beliefs(self) -> list[Belief]:
-        """What the module believes of each server."""
+        """Returns the balancer's state of each server."""
         return self._balancer.beliefs(self._clock.now())
 
     def zones(self) -> dict[str, int]:
-        """The servers on the list, with the zone of each."""
+        """Returns the zone of each server on the list."""
         return self._balancer.zones()
 
     @property
     def open_requests(self) -> int:
-        """Requests that are owed an answer or have attempts out."""
+        """The number of requests that are owed an answer or have attempts without an outcome."""
         return len(self._calls)
 
     # --- events ---------------------------------------------------------------------------------
 
     @property
     def shedding(self) -> bool:
-        """Whether it is worth to ask `glance`."""
+        """Whether the balancer sheds load, so that `early_refusal` may refuse requests."""
         return self._balancer.shedding
 
     @property
     def max_wait_ns(self) -> int:
-        """What has waited for longer is refused while it sheds."""
+        """While the balancer sheds load, requests that have waited for longer are refused."""
         return self._balancer.old
 
     def early_refusal(self, age_ns: int, retry: bool) -> bytes:
-        """The refusal, on the wire, for a request that has waited so long and need not be read; empty if it is
-        let in."""
+        """Returns the encoded refusal for a request that has waited for `age_ns` and is not parsed yet; empty if
+        the request is admitted."""
         hold_off_ns = self._balancer.glance(self._clock.now(), age_ns, retry)
-        return _refused(hold_off_ns) if hold_off_ns else b""
+        return _encoded_refusal(hold_off_ns) if hold_off_ns else b""
 
     def accept(
         self, exchange: Exchange, info: RequestInfo, age_ns: int = 0, let_in: bool = False, name: bytes = b""
     ) -> str:
-        """A client's request is whole, and has been for so long: an answer is owed from now on. Returns the id
-        that it is known by here."""
+        """Accepts a request that was completely received `age_ns` ago: from now on an answer is owed. Returns its
+        internal id. `let_in` says that `early_refusal` has admitted it already."""
         self._accepted += 1
         tid = f"{self._accepted:016x}"
         cls, ttl_ns, *rest, upgrade = info
@@ -190,7 +190,7 @@
             ttl_ns = max(min(ttl_ns, self._shutdown_ns - now), 1)
         self._calls[tid] = _Call(exchange, cls, now + ttl_ns)
         if self._sweep is None:
-            self._sweep_later()
+            self._schedule_sweep()
         place = 0.0
         if self.observer is not None:
             place = self.observer.place(name, cls, info.tenant, info.retry)
@@ -198,8 +198,10 @@
         return tid
 
     def shut_down_by(self, at: float) -> None:
-        """The process ends: whatever is open, and whatever is still taken, is answered by `at`, on the loop's
-        clock. What cannot be served by then is refused where that is true of it, and fails otherwise."""
+        """Answers all open requests, and those that are still accepted, by `at` on the loop's clock.
+
+        Requests that cannot be served by then are refused if they never ran, and fail otherwise.
+        """
         now = self._clock.now()
         self._shutdown_ns = max(now + int((at - asyncio.get_running_loop().time()) * 1e9), 1)
         for call in self._calls.values():
@@ -209,65 +211,68 @@
         self._handle(Ending(self._shutdown_ns), now)
 
     def client_left(self, tid: str) -> None:
-        """The client left. Its attempts are called off: their connections are closed."""
+        """Cancels a request whose client has left, and closes the connections of its attempts."""
         call = self._calls.get(tid)
         if call is None or call.over:
             return
         self._close(call, None)
         if self.tracing:
-            log.debug("request %s: its client left", self._name(tid))
+            log.debug("request %s: the client has left", self._client_id(tid))
         self._handle(Hangup(tid))
-        self._forget(tid, call)
+        self._remove_if_done(tid, call)
 
     def update_servers(self, event: Directory) -> None:
-        """An update of the list of servers."""
+        """Passes an update of the server list on to the balancer."""
         self._handle(event)
 
     def report_unresponsive(self, server: str) -> None:
-        """A server does not answer, as other evidence than attempts tells."""
+        """Reports that a server does not respond, on evidence other than attempts."""
         self._handle(Suspect(server))
 
     def handle_event(self, event: Event) -> None:
-        """What the sidecars of the tier together make of servers, or this one's part of a limit."""
+        """Passes an event on to the balancer, such as the tier's view of servers or this sidecar's share of a
+        limit."""
         self._handle(event)
 
     def demand(self) -> dict[tuple[int, bool], int]:
-        """What was wanted of each limit since this was last read; see the module."""
+        """Returns how much of each limit was requested since the last call; see `Balancer.demand`."""
         return self._balancer.demand()
 
     def adjust_held_connections(self, server: str, change: int) -> None:
-        """So many more connections of another protocol are open to a server, or fewer."""
+        """Reports that `change` more connections of another protocol are open to a server, or fewer."""
         self._handle(Held(server, change))
 
     def receive_gossip(self, blob: bytes) -> None:
-        """A message from another sidecar."""
+        """Passes a gossip message from another sidecar on to the balancer."""
         self._handle(Heard(blob))
 
-    def _sweep_later(self) -> None:
+    def _schedule_sweep(self) -> None:
         loop = asyncio.get_running_loop()
         self._sweep = self.wheel.call_at(loop.time() + SWEEP_S, self._answer_overdue)
 
     def _answer_overdue(self) -> None:
-        """Answer whatever the module owes past its deadline: a bug there must not leave the client waiting.
+        """Answers requests that the balancer has left unanswered past their deadline, so that a bug in it does
+        not leave a client waiting.
 
-        One look at all that is open now and then. A timer for each would be set and cancelled with every request.
+        A periodic check of all open requests replaces a timer for each, which would be set and cancelled with
+        every request.
         """
         self._sweep = None
-        late = self._clock.now() - OVERDUE_NS
-        for tid, call in [pair for pair in self._calls.items() if pair[1].deadline_ns < late]:
+        overdue_before = self._clock.now() - OVERDUE_NS
+        for tid, call in [pair for pair in self._calls.items() if pair[1].deadline_ns < overdue_before]:
             if not call.over:
-                self.violations.report(Invariant.OVERDUE, self._name(tid), "not answered by its deadline")
+                self.violations.report(Invariant.OVERDUE, self._client_id(tid), "not answered by its deadline")
                 self.client_left(tid)
                 call.exchange.finish(Answer(502, []))
         if self._calls:
-            self._sweep_later()
+            self._schedule_sweep()
 
     def _handle(self, event: Event, now: int = 0) -> None:
         now = now or self._clock.now()
         try:
             actions = self._balancer.handle(now, event)
-        except Exception:  # a bug in the module costs the request at hand, never the process
-            log.exception("the module failed on %s", type(event).__name__)
+        except Exception:  # a bug in the balancer affects only the request at hand, not the process
+            log.exception("unhandled exception in the balancer on %s", type(event).__name__)
             actions = [Fail(event.tid)] if isinstance(event, Accept | Response) else []
         for action in actions:
             if type(action) is Submit:
@@ -307,32 +312,34 @@
             asyncio.get_running_loop().call_soon(self._handle, event)
             return
         if self.tracing:
-            log.debug("request %s: attempt %d at %s", self._name(action.tid), number, action.server)
-        done = partial(self._settle, action, call, number, now)
-        bounds = AttemptLimits(abandon_ns, call.exchange.client_connected, action.begin_by_ns)
-        call.attempts[number] = self._upstream.attempt(action.server, call.exchange.request, bounds, done)
+            log.debug("request %s: attempt %d at %s", self._client_id(action.tid), number, action.server)
+        done = partial(self._attempt_ended, action, call, number, now)
+        limits = AttemptLimits(abandon_ns, call.exchange.client_connected, action.begin_by_ns)
+        call.attempts[number] = self._upstream.attempt(action.server, call.exchange.request, limits, done)
 
     def _may_repeat(self, action: Submit, call: _Call, now: int) -> bool:
-        """Whether a further attempt is harmless; one that is not is a violation, and does not begin."""
+        """Returns whether a further attempt is safe. If not, a violation is reported and the attempt does not
+        start."""
         known = 0 <= call.cls < len(self._classes)
         cls = self._classes[call.cls] if known else replace(self._classes[0], repeat="single_shot")
         if may_repeat(cls, len(call.attempts), call.ran_at_ns, now):
             return True
         detail = f"attempt {call.sent - 1} at {action.server} of a request that may have run"
-        self.violations.report(Invariant.UNSAFE_REPEAT, self._name(action.tid), detail)
+        self.violations.report(Invariant.UNSAFE_REPEAT, self._client_id(action.tid), detail)
         return False
 
-    def _name(self, tid: str) -> str:
-        """The id that a request's client gave it."""
+    def _client_id(self, tid: str) -> str:
+        """Returns the id that the client gave a request."""
         call = self._calls.get(tid)
         return call.exchange.trace_id.decode("latin-1") if call is not None else tid
 
-    def _settle(self, action: Submit, call: _Call, number: int, sent_ns: int, outcome: Outcome) -> None:
-        """Tell the module an attempt's one outcome."""
+    def _attempt_ended(self, action: Submit, call: _Call, number: int, sent_ns: int, outcome: Outcome) -> None:
+        """Reports the outcome of an attempt to the balancer, and answers the client if the outcome settles the
+        request."""
         del call.attempts[number]
         tid = action.tid
         if self.tracing:
-            log.debug("request %s: attempt %d ended: %s", self._name(tid), number, outcome.how.name)
+            log.debug("request %s: attempt %d ended: %s", self._client_id(tid), number, outcome.how.name)
         if (answer := outcome.answer) is not None:
             if answer.switched is not None:
                 answer = answer._replace(switched=answer.switched._replace(name=action.server))
@@ -340,7 +347,7 @@
                 self._close(call, answer)
                 call.exchange.finish(answer)
             elif answer.switched is not None:
-                answer.switched.sock.close()  # nobody is left to have it
+                answer.switched.sock.close()  # the client has left
         elif not call.ran_at_ns and outcome.how not in NEVER_RAN:
             call.ran_at_ns = sent_ns
         if self.on_outcome is not None:
@@ -348,14 +355,14 @@
         if self.on_attempt is not None:
             self.on_attempt(action.server, outcome.how, call.cls, sent_ns)
         now = self._clock.now()
-        passed_ns = now - sent_ns
-        lag_ns = outcome.lag_ns or passed_ns
-        own_ns = max(0, passed_ns - lag_ns)
+        elapsed_ns = now - sent_ns
+        lag_ns = outcome.lag_ns or elapsed_ns
+        own_ns = max(0, elapsed_ns - lag_ns)
         event = Response(tid, outcome.how, lag_ns, action.server, number, call.over, outcome.load, own_ns)
         if self.observer is not None:
             self.observer.outcome(event, call.cls)
         self._handle(event, now)
-        self._forget(tid, call)
+        self._remove_if_done(tid, call)
 
     def _finish(self, tid: str, answer: Answer) -> None:
         call = self._calls.get(tid)
@@ -363,12 +370,12 @@
             return
         self._close(call, answer)
         if self.tracing:
-            log.debug("request %s: answered with %d without a server", self._name(tid), answer.status)
+            log.debug("request %s: answered with %d without a server", self._client_id(tid), answer.status)
         call.exchange.finish(answer)
-        self._forget(tid, call)
+        self._remove_if_done(tid, call)
 
     def _close(self, call: _Call, answer: Answer | None) -> None:
-        """The request is over: whatever was still out for it is called off."""
+        """Ends a request and cancels its remaining attempts."""
         call.over = True
         if self.on_completed is not None:
             self.on_completed(call.cls, answer)
@@ -377,17 +384,17 @@
         for attempt in call.attempts.values():
             attempt.cancel()
 
-    def _forget(self, tid: str, call: _Call) -> None:
+    def _remove_if_done(self, tid: str, call: _Call) -> None:
         if call.over and not call.attempts:
             self._calls.pop(tid, None)
 
 
 @lru_cache(maxsize=64)
-def _refused(hold_off_ns: int) -> bytes:
+def _encoded_refusal(hold_off_ns: int) -> bytes:
     answer = refusal(hold_off_ns)
     return encode(b"HTTP/1.1 %d " % answer.status, [*answer.headers, (b"content-length", b"0")], b"")
 
 
 def refusal(hold_off_ns: int) -> Answer:
-    """A refusal that says when to come back."""
+    """Returns a refusal that tells the client when to retry."""
     return Answer(503, [(b"retry-after", b"%.3f" % (hold_off_ns / 1e9))] if hold_off_ns > 0 else [])
