--- a/covetally/net/config.py
+++ b/covetally/net/config.py
@@ -40,7 +40,7 @@
     peer_listen: Address | None
     peers: tuple[Address, ...]
     peers_all: Address | None
-    known: Any
+    known: Any  # a server list to start with, in discovery's format; None: there is none
     settings: Settings
     load_fields: frozenset[str]  # the names of the fields in load reports
     client_connections: int
--- a/tests/crossings/test_ending.py
+++ b/tests/crossings/test_ending.py
@@ -15,7 +15,7 @@
 from covetally.net import client
 from covetally.rig.world import Shape, World
 from tests.loopback import WAIT_S, Place, Server, answer, fine, place, read_message, request, until
-from tests.test_standing import get
+from tests.test_standing import get_request
 
 
 BODY = b"y" * 60_000
@@ -205,12 +205,14 @@
         async with asyncio.timeout(WAIT_S), World(Shape(nodes=2, instances=1, work_scale=8.0)) as world:
             await world.start_instances()
             instance = world.instances["a0"]
-            asks = [asyncio.create_task(status_of(instance.address, get(f"r{i}"))) for i in range(6)]
+            asks = [asyncio.create_task(status_of(instance.address, get_request(f"r{i}"))) for i in range(6)]
             await until(lambda: sum(node.seen["arrived"] for node in world.nodes.values()) >= 2)
             for number in (signal.SIGHUP, signal.SIGTERM, signal.SIGTERM, signal.SIGHUP, signal.SIGTERM):
                 instance.process.send_signal(number)
                 await asyncio.sleep(0.02)
-            late = await status_of(instance.address, get("late"))  # within the time in which new ones come
+            late = await status_of(
+                instance.address, get_request("late")
+            )  # within the time in which new ones come
             assert late in (200, 503)
             assert set(await asyncio.gather(*asks)) <= {200, 503}
             assert await instance.process.wait() == 0
@@ -227,7 +229,7 @@
             for node in world.nodes.values():
                 os.kill(node.child.pid, signal.SIGSTOP)
             asked = time.monotonic()
-            asks = [asyncio.create_task(status_of(instance.address, get(f"r{i}"))) for i in range(6)]
+            asks = [asyncio.create_task(status_of(instance.address, get_request(f"r{i}"))) for i in range(6)]
             await asyncio.sleep(0.1)
             instance.process.send_signal(signal.SIGTERM)
             found = await asyncio.gather(*asks)
@@ -255,12 +257,12 @@
                 sock.connect_ex(instance.address)
                 idle.append(sock)
             await asyncio.sleep(3.5)  # the watch is over, and new calls have failed
-            assert [await status_of(instance.address, get(f"r{i}")) for i in range(20)] == [200] * 20
+            assert [await status_of(instance.address, get_request(f"r{i}")) for i in range(20)] == [200] * 20
             world.lifecycle("n1", "leaving")
             world.discovery.command(silent=False)
             await asyncio.sleep(0.5)
             before = world.nodes["n1"].seen["arrived"]
-            assert [await status_of(instance.address, get(f"s{i}")) for i in range(40)] == [200] * 40
+            assert [await status_of(instance.address, get_request(f"s{i}")) for i in range(40)] == [200] * 40
             assert world.nodes["n1"].seen["arrived"] == before
             for sock in idle:
                 sock.close()
--- a/tests/crossings/test_list.py
+++ b/tests/crossings/test_list.py
@@ -1,4 +1,4 @@
-"""Discovery fails, refuses or stays silent: the change is known here before it counts as told."""
+"""Discovery fails, refuses or stays silent: a change is still known here before it counts as notified."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from tests.loopback import Server, answer, place, until
 from tests.support import MS, Paper, settings
 
-LONGEST_S = 1.8 * ASK_GAP / 1e9
+MAX_PAUSE_S = 1.8 * ASK_GAP / 1e9
 
 
 def members(generation: int, *lifecycles: str, whole: bool = True) -> bytes:
@@ -28,20 +28,20 @@
     return answer(json.dumps({"generation": generation, "reset": whole, "instances": instances}).encode())
 
 
-def test_the_time_until_news_is_told_has_room_for_what_may_fail_on_the_way():
-    """Where lists are asked for: a silent call, the longest pause, a refused call, the longest pause."""
+def test_notification_time_has_room_for_failed_calls():
+    """Where lists are polled: a silent call, the longest pause, a refused call, the longest pause."""
     silent = discovery_schedule.next_call(False, True, True).timeout_s
-    assert silent + 2 * LONGEST_S < discovery_schedule.NOTIFIED_AFTER_SILENCE_S
+    assert silent + 2 * MAX_PAUSE_S < discovery_schedule.NOTIFIED_AFTER_SILENCE_S
     watch = discovery_schedule.next_call(False, True, False).timeout_s
-    assert watch + LONGEST_S < discovery_schedule.NOTIFIED_AFTER_SILENCE_S, (
-        "and a watch that falls silent, then a refused call"
+    assert watch + MAX_PAUSE_S < discovery_schedule.NOTIFIED_AFTER_SILENCE_S, (
+        "no room for a silent watch and a refused call"
     )
 
 
 @pytest.mark.parametrize("must_ask_s", [2, 10, 120])
-def test_failed_calls_come_again_in_time_and_not_in_step(must_ask_s):
-    """The pause doubled with every failure up to nine tenths of `mustAskInNs`, whatever that was."""
-    gaps = []
+def test_failed_calls_are_retried_in_time_and_with_jitter(must_ask_s):
+    """The pause doubled with every failure, up to nine tenths of `mustAskInNs`, however long that was."""
+    pauses = []
     for seed in range(8):
         invariants = {"mustAskInNs": must_ask_s * 1_000 * MS}
         paper = Paper(settings(discovery="subscribe", invariants=invariants), seed=seed)
@@ -49,15 +49,15 @@
             start, asks = paper.now, paper.asks
             while paper.asks == asks:
                 paper.advance(10 * MS)
-            gaps.append((paper.now - start) / 1e9)
+            pauses.append((paper.now - start) / 1e9)
             paper.feed(Directory("FAILED"))
-    assert max(gaps) <= LONGEST_S + 0.02
-    assert len({round(gap, 2) for gap in gaps}) > 30, "drawn: a crowd does not come as one"
+    assert max(pauses) <= MAX_PAUSE_S + 0.02
+    assert len({round(pause, 2) for pause in pauses}) > 30, "without jitter, all sidecars call at the same time"
 
 
 @pytest.mark.parametrize("failure", ["refused", "reset", "503"])
-def test_a_drain_is_known_in_time_after_discovery_failed_for_long(failure):
-    """With the longest pauses that may be drawn; mustAskInNs is ten seconds."""
+def test_drain_is_known_in_time_after_a_long_failure_of_discovery(failure):
+    """The random pauses are at their maximum; mustAskInNs is ten seconds."""
 
     async def main():
         numbers = itertools.count(1)
@@ -77,30 +77,30 @@
         async with place(more={"discovery": "subscribe", "invariants": {"mustAskInNs": 10_000 * MS}}) as here:
             server = Server(discover)
             await server.start()
-            told: list[tuple[float, ListUpdate]] = []
+            updates: list[tuple[float, ListUpdate]] = []
             discovery = Discovery(here.sidecar._balancer.book.settings, server.address)
-            discovery.on_update = lambda news: (
-                told.append((time.monotonic(), news)),
-                here.sidecar.update_servers(Directory("FULL", tuple(entry for entry, _ in news.entries))),
+            discovery.on_update = lambda update: (
+                updates.append((time.monotonic(), update)),
+                here.sidecar.update_servers(Directory("FULL", tuple(entry for entry, _ in update.entries))),
             )
             discovery.on_failure = lambda: here.sidecar.update_servers(Directory("FAILED"))
             here.sidecar._subscribe = discovery.subscribe
             here.balancer.book.random = lambda: 0.999
             here.sidecar.update_servers(Directory("FAILED"))
-            await until(lambda: told)
+            await until(lambda: updates)
             state["ok"] = False
             if failure == "refused":
                 server.stop()
-            await asyncio.sleep(5.0)  # some failures: the pauses had grown
+            await asyncio.sleep(5.0)  # enough failures for the pauses to have grown
             if failure == "refused":
-                again = Server(discover)
-                again._server = await asyncio.start_server(again._serve, *server.address)
-                server = again
+                new_server = Server(discover)
+                new_server._server = await asyncio.start_server(new_server._serve, *server.address)
+                server = new_server
             state.update(ok=True, drains=True)
-            back = time.monotonic()
-            await until(lambda: told[-1][0] > back)
-            assert told[-1][0] - back < LONGEST_S + 0.5
-            assert told[-1][1].entries[1][0].lifecycle == "draining"
+            recovered = time.monotonic()
+            await until(lambda: updates[-1][0] > recovered)
+            assert updates[-1][0] - recovered < MAX_PAUSE_S + 0.5
+            assert updates[-1][1].entries[1][0].lifecycle == "draining"
             discovery.stop()
             server.stop()
 
@@ -108,19 +108,21 @@
 
 
 @pytest.mark.parametrize("grace_s", [0.1, 0.25, 0.5, 2.0])
-def test_an_agent_that_was_silent_is_looked_at_again_within_the_drain_grace(grace_s):
-    """Every 0.35 s came too late where the settings give a quarter of a second."""
+def test_silent_agent_is_called_again_within_the_drain_grace(grace_s):
+    """A call every 0.35 s is too late for a drain grace of 0.25 s."""
     for known in (False, True):
-        look = discovery_schedule.next_call(True, known, True, grace_s)
-        assert look == discovery_schedule.next_call(True, False, True, grace_s)._replace(wait_ms=look.wait_ms)
-        slack_s = 0.05  # the protocol's on each time limit
-        assert discovery_schedule.detection_s(look, grace_s) <= grace_s + slack_s
+        retry = discovery_schedule.next_call(True, known, True, grace_s)
+        assert retry == discovery_schedule.next_call(True, False, True, grace_s)._replace(wait_ms=retry.wait_ms)
+        tolerance_s = 0.05  # which the protocol grants on each time limit
+        assert discovery_schedule.detection_s(retry, grace_s) <= grace_s + tolerance_s
     first = discovery_schedule.next_call(True, False, False, grace_s)
-    assert first == discovery_schedule.next_call(True, False, True, grace_s), "the first one too"
+    assert first == discovery_schedule.next_call(True, False, True, grace_s), (
+        "the first call has to be as quick as a retry"
+    )
 
 
-def test_a_first_call_that_stays_silent_does_not_hide_the_agent_s_return():
-    """A process that starts while the agent is silent has a call out at its return, which nobody answers."""
+def test_unanswered_first_call_does_not_delay_the_recovery_from_an_outage():
+    """A process that starts during an outage of the agent has an open call at its end that is never answered."""
 
     async def main():
         state = {"silent": True}
@@ -133,24 +135,24 @@
         async with place(more={"invariants": {"drainGraceNs": 500 * MS}}) as here:
             server = Server(discover)
             await server.start()
-            told: list[float] = []
+            updates: list[float] = []
             discovery = Discovery(here.sidecar._balancer.book.settings, server.address)
-            discovery.on_update = lambda news: told.append(time.monotonic())
+            discovery.on_update = lambda update: updates.append(time.monotonic())
             discovery.on_failure = lambda: None
             discovery.start()
             await until(lambda: server.got)
             state["silent"] = False
-            back = time.monotonic()
-            await until(lambda: told)
-            assert told[0] - back < 0.45
+            recovered = time.monotonic()
+            await until(lambda: updates)
+            assert updates[0] - recovered < 0.45
             discovery.stop()
             server.stop()
 
     asyncio.run(main())
 
 
-def test_an_answer_that_comes_in_a_pause_between_calls_is_followed_by_one_watch_and_no_more():
-    """The pause's end asked once more beside that watch, whose time then ran out with no call of its own."""
+def test_answer_during_a_pause_between_calls_starts_exactly_one_watch():
+    """The end of the pause started a second call beside that watch. The watch's timeout then found no call."""
 
     async def main():
         state = {"calls": 0, "watching": 0, "most": 0}
@@ -158,7 +160,7 @@
         async def discover(server, got, reader, writer):
             state["calls"] += 1
             if state["calls"] == 1:
-                await asyncio.sleep(0.6)  # longer than a look's patience; the calls beside it fail at once
+                await asyncio.sleep(0.6)  # longer than the first call's timeout; the other calls fail at once
                 writer.write(members(3, "active"))
             elif b"wait=2000" not in got:
                 writer.write(answer(b"", b"503 Busy"))
@@ -172,11 +174,11 @@
         async with place(more={"invariants": {"drainGraceNs": 500 * MS}}) as here:
             server = Server(discover)
             await server.start()
-            told: list[ListUpdate] = []
+            updates: list[ListUpdate] = []
             discovery = Discovery(here.sidecar._balancer.book.settings, server.address)
-            discovery.on_update = told.append
+            discovery.on_update = updates.append
             discovery.start()
-            await until(lambda: told)
+            await until(lambda: updates)
             await asyncio.sleep(1.0)
             assert state["most"] == 1
             discovery.stop()
--- a/tests/crossings/test_retrying.py
+++ b/tests/crossings/test_retrying.py
@@ -1,4 +1,4 @@
-"""A further attempt meets its window's end, or its own time's, on the way to its server."""
+"""The repeat window or the time limit of an attempt ends before its request is written to the server."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
     return [action for action in actions if isinstance(action, Submit)]
 
 
-def test_a_keyed_repeat_says_by_when_it_has_to_begin():
+def test_repeat_of_a_guarded_request_has_a_latest_start_time():
     paper = Paper(settings(limits={"maxAttempts": 4}), servers=4)
     for cls, guarded in ((2, True), (0, False)):
         tid = paper.accept(cls)
@@ -38,33 +38,38 @@
         paper.answer(tid, 1)
 
 
-def test_a_keyed_repeat_whose_connection_comes_up_past_its_window_is_not_begun():
-    """Its window was looked at when it was submitted, and its request written whenever the connection was up."""
+def test_guarded_repeat_is_not_sent_if_its_connection_is_established_after_the_window():
+    """The window was checked when the repeat was submitted, but its request was written once the connection was
+    established, however late."""
 
     async def main():
         async def cut(server, got, reader, writer):
-            here.tell(here.servers)  # only now the slow one is there
+            here.tell(here.servers)  # adds the slow server
             writer.close()
 
         async with place(cut, fine, limits=LIMITS, classes=CLASSES) as here:
             here.tell({"s0": here.servers["s0"]})
             async with slow_to_come_up(here, "s1", tell=False) as got:
                 more = "Idempotency-Key: k1\r\n"
-                asks = asyncio.create_task(here.status(request("r1", "book", b"x", "2.5", more)))
+                response = asyncio.create_task(here.status(request("r1", "book", b"x", "2.5", more)))
                 await until(lambda: here.servers["s0"].got)
                 await until(lambda: here.upstream.connections)
                 await asyncio.sleep(0.5)
-                assert here.upstream.connections == 1, "the repeat's, still coming up"
+                assert here.upstream.connections == 1, (
+                    "the repeat has to be the only connection, and not established yet"
+                )
             assert not any(got)
-            assert await asks == 503, "a repeat that was not begun leaves the refusal true: all know the key"
+            assert await response == 503, (
+                "the repeat never ran, and all servers know the key, so the request may be refused"
+            )
 
     asyncio.run(main())
 
 
-def test_an_attempt_whose_time_is_up_when_its_connection_is_fit_is_not_written(monkeypatch):
-    """A late loop wrote it all the same, and told its server a time below nothing."""
+def test_attempt_whose_time_is_over_before_its_connection_is_usable_is_not_written(monkeypatch):
+    """A late event loop wrote the request all the same, with a negative time limit for the server."""
     monkeypatch.setattr(upstream, "SETTLE_S", 0.05)
-    monkeypatch.setattr(sidecar, "SWEEP_S", 9.0)  # it would bring the timers forward in which its time is up
+    monkeypatch.setattr(sidecar, "SWEEP_S", 9.0)  # else the timer wheel would run first and end the attempt
 
     async def main():
         async with place(fine) as here:
@@ -81,9 +86,9 @@
     asyncio.run(main())
 
 
-def test_a_request_whose_server_drains_while_its_connection_comes_up_goes_elsewhere_at_once():
-    """It waited for the connection, and for the end of the drain's grace; that it went past this hung on how late
-    the news was known here. And nothing is held against a server for its drain."""
+def test_request_moves_at_once_if_its_server_drains_while_the_connection_is_established():
+    """The request waited for the connection and for the end of the drain grace, and could be sent after the grace
+    if this sidecar had received the update late. A drain must not count against the server either."""
 
     async def main():
         async with place(fine, fine, limits=LIMITS) as here:
@@ -91,11 +96,11 @@
             here.tell({"s0": slow})
             async with slow_to_come_up(here, "s0", tell=False) as got:
                 here.tell({"s0": slow})
-                asks = asyncio.create_task(here.ask(request("r1")))
+                response = asyncio.create_task(here.ask(request("r1")))
                 await until(lambda: here.upstream.connections)
                 here.tell({"s1": other}, "INCREMENTAL")
                 here.tell({"s0": slow}, "INCREMENTAL", "draining")
-                assert (await asks).endswith(b"for r1")
+                assert (await response).endswith(b"for r1")
                 assert here.balancer.book.servers["s0"].refused == 0
             assert not any(got)
 
@@ -103,25 +108,25 @@
 
 
 @pytest.mark.parametrize("expires_s", [0.02, 0.06, 0.9])
-def test_each_attempt_passes_on_no_more_time_than_is_left(expires_s):
-    """Two attempts with a pause before the first one's end; the loop is late before the second one is written."""
-    seen: list[tuple[float, float]] = []  # when it arrived, and the time that it was told
+def test_attempts_pass_on_no_more_time_than_remains(expires_s):
+    """Two attempts: the first fails after a pause, and the event loop is blocked before the second is written."""
+    seen: list[tuple[float, float]] = []  # when each request arrived, and the time limit that it carried
 
-    async def late_then_cut(server, got, reader, writer):
-        told = next(line for line in got.split(b"\r\n") if line.startswith(b"x-expires-in"))
-        seen.append((time.monotonic(), float(told.partition(b":")[2])))
+    async def block_then_reset(server, got, reader, writer):
+        header = next(line for line in got.split(b"\r\n") if line.startswith(b"x-expires-in"))
+        seen.append((time.monotonic(), float(header.partition(b":")[2])))
         await asyncio.sleep(expires_s / 4)
-        time.sleep(expires_s / 8)  # the same loop has the sidecar
+        time.sleep(expires_s / 8)  # blocks the event loop, which the sidecar shares
         writer.transport.abort()
 
     async def main():
         limit = int(expires_s * 1000) * MS
         classes = [{"name": "look", "onTimeNs": limit, "hardLimitNs": limit, "repeat": "free"}]
-        async with place(late_then_cut, late_then_cut, classes=classes) as here:
-            begun = time.monotonic()
+        async with place(block_then_reset, block_then_reset, classes=classes) as here:
+            started = time.monotonic()
             await here.status(request("r1", expires=f"{expires_s:.3f}"))
             assert seen
-            for arrived, told_s in seen:
-                assert 0 < told_s <= begun + expires_s - arrived + 0.05
+            for arrived, limit_s in seen:
+                assert 0 < limit_s <= started + expires_s - arrived + 0.05
 
     asyncio.run(main())
--- a/tests/incidents/test_crowd.py
+++ b/tests/incidents/test_crowd.py
@@ -14,7 +14,7 @@
 from covetally.net.eviction import NEWCOMER_S
 from covetally.rig.world import Shape, World
 from tests.loopback import WAIT_S, read_message
-from tests.test_standing import get
+from tests.test_standing import get_request
 
 SOCKETS = 256
 CLIENTS = 16
@@ -43,7 +43,7 @@
     reader, writer = await asyncio.open_connection(*address)
     try:
         await asyncio.sleep(SEND_AFTER_S)
-        writer.write(get(name))
+        writer.write(get_request(name))
         sent_after_s = time.monotonic() - began
         return Asked(sent_after_s, await read_message(reader))
     except (asyncio.IncompleteReadError, ConnectionError):
--- a/tests/incidents/test_orders.py
+++ b/tests/incidents/test_orders.py
@@ -15,7 +15,7 @@
 from covetally.rig.site import LOAD_CLASSES
 from covetally.rig.world import Shape
 from tests.loopback import WAIT_S, read_message
-from tests.test_standing import get
+from tests.test_standing import get_request
 
 PLATFORM_ROSTER = f'{QUICK}\n[roster]\nsource = "platform"'
 WATCH_S = 1.5  # a sidecar that came back is looked at for so long
@@ -93,7 +93,7 @@
             while True:
                 turn += 1
                 name, again = again or f"c{number}-{turn}", ""
-                writer.write(get(name))
+                writer.write(get_request(name))
                 try:
                     answers.append(await read_message(reader))
                 except (asyncio.IncompleteReadError, ConnectionError):
--- a/tests/test_loop.py
+++ b/tests/test_loop.py
@@ -1,4 +1,4 @@
-"""The event loop of a sidecar: the news of sockets, whatever else happens in the same turn."""
+"""The event loop of a sidecar: socket callbacks run, whatever else happens in the same iteration."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from tests.loopback import fine, place, request
 
 
-def play(main: Callable[[], Coroutine]) -> None:
+def run(main: Callable[[], Coroutine]) -> None:
     async def timed() -> None:
         async with asyncio.timeout(20):
             await main()
@@ -30,12 +30,12 @@
     return one, other
 
 
-def test_both_directions_are_told_apart_and_ended_apart():
+def test_read_and_write_callbacks_are_called_and_removed_independently():
     async def main():
         loop = asyncio.get_running_loop()
         one, other = pair()
         read, room = asyncio.Event(), asyncio.Event()
-        loop.add_reader(one, lambda *words: (one.recv(9), words == ("a", 1) and read.set()), "a", 1)
+        loop.add_reader(one, lambda *args: (one.recv(9), args == ("a", 1) and read.set()), "a", 1)
         loop.add_writer(one.fileno(), room.set)
         await room.wait()
         assert loop.remove_writer(one.fileno())
@@ -53,65 +53,65 @@
         one.close()
         other.close()
 
-    play(main)
+    run(main)
 
 
-def test_news_of_a_socket_closed_in_the_same_turn_reaches_nobody_at_its_number():
+def test_event_of_a_closed_descriptor_is_not_delivered_to_a_new_socket_with_its_number():
     async def main():
         loop = asyncio.get_running_loop()
         pairs = [pair() for _ in range(2)]
-        told, wrong = [], []
+        called, wrong = [], []
         extra: list[socket.socket] = []
 
-        def first_come(mine: int) -> None:
-            """Whichever of the two is told first closes the other and puts a new socket at its number."""
-            told.append(mine)
+        def on_first_event(mine: int) -> None:
+            """The first callback to run closes the other descriptor and lets a new socket take its number."""
+            called.append(mine)
             pairs[mine][0].recv(9)
             other = pairs[1 - mine][0]
             number = other.fileno()
             loop.remove_reader(number)
             other.close()
             extra.extend(pair())
-            assert number in [sock.fileno() for sock in extra], "the number was not used again"
+            assert number in [sock.fileno() for sock in extra], "the descriptor number was not reused"
             loop.add_reader(number, lambda: wrong.append(number))
             loop.call_soon(done.set)
 
         done = asyncio.Event()
         for number in range(2):
-            loop.add_reader(pairs[number][0], lambda number=number: first_come(number))
+            loop.add_reader(pairs[number][0], lambda number=number: on_first_event(number))
         for number in range(2):
             pairs[number][1].send(b"x")
         await done.wait()
         await asyncio.sleep(0.01)
-        assert len(told) == 1
+        assert len(called) == 1
         assert wrong == []
         for sock in (*extra, *(s for both in pairs for s in both)):
             sock.close()
 
-    play(main)
+    run(main)
 
 
-def test_a_callback_that_fails_keeps_none_other_from_its_news(caplog):
+def test_failing_callback_does_not_keep_others_from_running(caplog):
     async def main():
         loop = asyncio.get_running_loop()
         (bad, _one), (good, _other) = pair(), pair()
-        heard = asyncio.Event()
+        called = asyncio.Event()
 
         def fail() -> None:
             bad.recv(9)
             raise ValueError("a bug")
 
         loop.add_reader(bad, fail)
-        loop.add_reader(good, lambda: (good.recv(9), heard.set()))
+        loop.add_reader(good, lambda: (good.recv(9), called.set()))
         _one.send(b"x")
         _other.send(b"x")
-        await heard.wait()
+        await called.wait()
 
-    play(main)
+    run(main)
     assert "unhandled exception in a socket callback" in caplog.text
 
 
-def test_transports_signals_and_a_closed_descriptor_live_beside_it():
+def test_transports_signals_and_closed_descriptors_work_as_in_asyncio():
     async def main():
         loop = asyncio.get_running_loop()
         server = await asyncio.start_server(lambda r, w: (w.write(b"hello"), w.close()), "127.0.0.1", 0)
@@ -127,25 +127,25 @@
             peer.send(b"word")
             assert await loop.sock_recv(sock, 9) == b"word"
             peer.close()
-        told = asyncio.Event()
-        loop.add_signal_handler(signal.SIGUSR1, told.set)
+        received = asyncio.Event()
+        loop.add_signal_handler(signal.SIGUSR1, received.set)
         os.kill(os.getpid(), signal.SIGUSR1)
-        await told.wait()
+        await received.wait()
         one, other = pair()
         number = one.fileno()
         loop.add_reader(one, lambda: None)
-        one.close()  # the kernel forgets it; so must the loop
+        one.close()  # the kernel removes it from epoll; the loop must cope with that
         assert loop.remove_reader(number)
         other.close()
 
-    play(main)
+    run(main)
 
 
 @pytest.mark.parametrize("many", [1, 40])
-def test_a_sidecar_serves_on_it(many):
+def test_sidecar_serves_requests_on_this_loop(many):
     async def main():
         async with place(fine, fine, clients=64, sockets=64) as here:
             got = await asyncio.gather(*(here.status(request(f"t{n}")) for n in range(many)))
             assert got == [200] * many
 
-    play(main)
+    run(main)
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -1,4 +1,4 @@
-"""Servers that misbehave: what they say is nobody else's answer, and only who is to blame is blamed."""
+"""Servers that misbehave: an invalid answer reaches no client, and only servers at fault are ejected."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from tests.loopback import answer, fine, place, read_message, request, traces, until
 from tests.support import MS, Paper, settings
 
-SPOILT = {
+INVALID_ANSWERS = {
     "noise": b"\x8e\xfb\x00\xff\r\n\r\n\r\n",
     "no colon": b"HTTP/1.1 200 OK\r\nno colon here\r\nContent-Length: 2\r\n\r\nab",
     "two lengths": b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nabc",
@@ -39,37 +39,37 @@
 }
 
 
-@pytest.mark.parametrize("name", SPOILT)
-def test_a_spoilt_answer_fails_and_convicts_nobody(name):
-    async def spoil(server, got, reader, writer):
-        writer.write(SPOILT[name])
+@pytest.mark.parametrize("name", INVALID_ANSWERS)
+def test_invalid_answer_fails_the_request_without_ejecting_the_server(name):
+    async def answer_invalid(server, got, reader, writer):
+        writer.write(INVALID_ANSWERS[name])
         await reader.read()
 
     async def main():
-        async with place(spoil) as here:
+        async with place(answer_invalid) as here:
             here.balancer.book.tokens = 0.0  # no further attempt
             assert await here.status(request(cls="pay")) == 502
             server = here.balancer.book.servers["s0"]
             assert (server.k, server.inflight) == (1, 0)
             here.servers["s0"].script = fine
             assert (await here.ask(request("next"))).endswith(b"for next")
-            assert here.upstream._open_count == 1, "the spoilt connection is gone"
+            assert here.upstream._open_count == 1, "the connection with the invalid answer was not closed"
 
     asyncio.run(main())
 
 
-def test_a_streak_of_spoilt_answers_is_the_server_s_own():
+def test_consecutive_invalid_answers_eject_the_server():
     paper = Paper(servers=1)
     server = paper.server("s0")
     paper.balancer.book.heard = 1e6
-    for spoilt in range(3):
-        assert server.k == 1, f"convicted after {spoilt}"
+    for count in range(3):
+        assert server.k == 1, f"ejected after {count}"
         paper.answer(paper.accept(cls=1), 0, how=308, lag=20_000_000)
     assert server.k == 0
 
 
-def test_servers_at_k_zero_come_back_where_aims_are_shorter_than_the_connect_timeout():
-    """No call had the time to spare that a trial asked for, so none was ever sent and all stayed out."""
+def test_ejected_servers_recover_when_aims_are_shorter_than_the_connect_timeout():
+    """Probes needed a call with time to spare. No call had any, so ejected servers were never probed."""
     limits = {"maxAttempts": 4, "connectTimeoutNs": 400 * MS}
     for dead in ({"s0"}, {"s0", "s1"}):
         paper = Paper(settings(limits=limits), servers=2)
@@ -85,7 +85,7 @@
 
 
 @pytest.mark.parametrize("how", [301, 305])
-def test_with_many_calls_a_lone_failure_is_no_verdict_and_some_in_a_row_are(how):
+def test_with_many_calls_only_consecutive_failures_eject_a_server(how):
     paper = Paper(servers=1)
     server = paper.server("s0")
     paper.balancer.book.heard = 1e6
@@ -96,22 +96,22 @@
 
 
 @pytest.mark.parametrize("failures, cold", [(1, False), (3, True)])
-def test_with_many_calls_a_lone_failed_connection_is_no_restart(failures, cold):
-    """Servers whose connections fail now and then were taken for cold, and got next to nothing."""
+def test_with_many_calls_a_single_failed_connection_does_not_count_as_a_restart(failures, cold):
+    """Servers whose connections failed now and then were treated as cold, and got hardly any requests."""
     paper = Paper(servers=1)
     server = paper.server("s0")
     paper.balancer.book.heard = 1e6
     for how in [304] * failures + [100]:
         server.k, paper.balancer.book.live = 1, 1
         paper.balancer.book.refresh(server)
-        paper.balancer.book.cut.clear()  # else its zone gets only trials
+        paper.balancer.book.cut.clear()  # else its zone gets only probes
         paper.balancer.book.tokens = 0.0  # no further attempt
         paper.answer(paper.accept(cls=1), 0, how=how, lag=20 * MS)
     assert (server.started == paper.now) is cold
 
 
 @pytest.mark.parametrize("lost, taught", [(1, False), (3, True)])
-def test_with_many_calls_a_lone_time_out_tells_of_no_queue(lost, taught):
+def test_with_many_calls_a_single_timeout_does_not_indicate_a_queue(lost, taught):
     paper = Paper(servers=1)
     paper.balancer.book.heard = 1e6
     for _ in range(lost):
@@ -121,7 +121,7 @@
     assert (paper.server("s0").wait > 0) is taught
 
 
-def test_with_many_calls_a_server_expected_in_time_goes_before_a_less_loaded_one_that_is_not():
+def test_with_many_calls_a_server_expected_to_answer_in_time_is_preferred_over_a_less_loaded_late_one():
     paper = Paper(servers=2)
     slow, quick = paper.server("s1"), paper.server("s0")
     for many in (False, True):
@@ -132,13 +132,13 @@
         quick.inflight = 0
 
 
-def test_with_few_calls_the_first_failure_is_a_verdict():
+def test_with_few_calls_the_first_failure_ejects_a_server():
     paper = Paper(servers=1)
     paper.answer(paper.accept(cls=1), 0, how=305)
     assert paper.server("s0").k == 0
 
 
-def test_failures_that_all_servers_show_do_not_shrink_budgets():
+def test_failures_common_to_all_servers_do_not_shrink_budgets():
     paper = Paper(servers=3)
     paper.balancer.book.heard = 1e6
     for server in paper.balancer.book.servers.values():
@@ -149,30 +149,30 @@
     assert min(s.k for s in paper.balancer.book.servers.values()) >= 3
 
 
-def test_the_first_budget_is_a_sidecar_s_part_of_what_a_server_can_do():
+def test_initial_budget_is_the_sidecars_share_of_a_servers_capacity():
     for replicas, budget in ((1, 4), (2, 2), (100, 1)):
         server = Paper(settings(replicasOfMe=replicas), servers=1).server("s0")
         assert server.budget == budget
 
 
 @pytest.mark.parametrize("extra", [b"noise", answer(b"stale")])
-def test_what_comes_behind_an_answer_is_nobody_s(extra):
-    async def more(server, got, reader, writer):
+def test_bytes_after_an_answer_are_not_read_as_the_next_answer(extra):
+    async def send_extra(server, got, reader, writer):
         await fine(server, got, reader, writer)
         writer.write(extra)
 
     async def main():
         new = traces()
-        async with place(more) as here:
+        async with place(send_extra) as here:
             for _ in range(10):
                 trace = new()
                 assert (await here.ask(request(trace))).endswith(b"for " + trace.encode())
-            assert here.servers["s0"].connections == 10, "each connection is of no further use"
+            assert here.servers["s0"].connections == 10, "a connection with surplus bytes was reused"
 
     asyncio.run(main())
 
 
-def test_a_second_copy_that_comes_a_little_later_is_not_the_next_answer(monkeypatch):
+def test_delayed_duplicate_answer_is_not_read_as_the_next_answer(monkeypatch):
     monkeypatch.setattr(upstream, "SETTLE_S", 0.3)
 
     async def late(server, got, reader, writer):
@@ -192,15 +192,15 @@
 
 
 async def break_next(server, got, reader, writer):
-    """Answer, and drop the connection at the first byte of the next request."""
+    """Answers, and resets the connection at the first byte of the next request."""
     await fine(server, got, reader, writer)
     await writer.drain()
     await reader.read(1)
     writer.transport.abort()
 
 
-def test_while_kept_connections_break_the_last_byte_waits_for_a_sign(monkeypatch):
-    monkeypatch.setattr(upstream, "DISTRUST_LAST_BYTE_DELAY_S", 5.0)  # it ends with the sign
+def test_last_byte_is_held_back_while_idle_connections_break(monkeypatch):
+    monkeypatch.setattr(upstream, "DISTRUST_LAST_BYTE_DELAY_S", 5.0)  # ended early by the reset
 
     async def main():
         async with place(break_next) as here:
@@ -208,13 +208,13 @@
             here.upstream._distrust_until = asyncio.get_running_loop().time() + 60.0
             for trace in ("b", "c"):
                 assert (await here.ask(request(trace, cls="pay"))).endswith(b"for " + trace.encode())
-            assert here.servers["s0"].connections == 3, "the same attempt went on a new connection"
+            assert here.servers["s0"].connections == 3, "the attempt did not continue on a new connection"
 
     asyncio.run(main())
 
 
-def test_small_pieces_go_out_at_once_on_both_sides():
-    """A last byte held back waited for the peer's delayed acknowledgement."""
+def test_tcp_nodelay_is_set_on_client_and_server_connections():
+    """Without TCP_NODELAY a last byte that was held back also waited for the peer's delayed acknowledgement."""
 
     async def main():
         async with place(fine) as here:
@@ -222,15 +222,15 @@
             writer.write(request("a"))
             await read_message(reader)
             (client,) = here.frontend._clients
-            (rested,) = here.upstream._servers["s0"].idle
-            for stream in (client.stream, rested):
+            (idle,) = here.upstream._servers["s0"].idle
+            for stream in (client.stream, idle):
                 assert stream.sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
             writer.close()
 
     asyncio.run(main())
 
 
-def test_a_kept_connection_that_breaks_makes_wary(monkeypatch):
+def test_broken_idle_connection_enables_the_last_byte_delay(monkeypatch):
     async def main():
         async with place(break_next) as here:
             assert await here.status(request("a")) == 200
@@ -241,7 +241,7 @@
     asyncio.run(main())
 
 
-def test_1xx_answers_ahead_are_passed_over():
+def test_interim_1xx_answers_are_skipped():
     async def early(server, got, reader, writer):
         writer.write(b"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" * 3)
         await fine(server, got, reader, writer)
@@ -253,7 +253,7 @@
     asyncio.run(main())
 
 
-def test_a_request_that_servers_turn_away_as_bad_is_no_verdict_on_them():
+def test_rejecting_a_bad_request_does_not_count_against_the_server():
     async def turn_away(server, got, reader, writer):
         writer.write(answer(b"", b"400 Bad Request"))
 
@@ -266,7 +266,7 @@
     asyncio.run(main())
 
 
-def test_a_lack_of_own_sockets_is_no_verdict_on_servers():
+def test_reaching_the_connection_limit_does_not_count_against_servers():
     async def main():
         release = asyncio.Event()
 
@@ -286,21 +286,23 @@
     asyncio.run(main())
 
 
-def test_a_socket_that_cannot_be_made_holds_no_place(monkeypatch):
-    """Places were lost one by one while there were no descriptors, and in the end no server could be reached."""
+def test_failed_socket_creation_does_not_leak_a_reserved_connection(monkeypatch):
+    """While there were no descriptors, each attempt leaked a reserved connection until none was left."""
 
     async def main():
         async with place(fine, sockets=2) as here:
             reader, writer = await here.connect()
 
-            def none(*_):
+            def fail(*_):
                 raise OSError(errno.EMFILE, "no descriptor left")
 
             with monkeypatch.context() as patch:
-                patch.setattr(socket, "socket", none)
+                patch.setattr(socket, "socket", fail)
                 for trace in ("a", "b", "c"):
                     writer.write(request(trace, cls="pay"))
-                    assert b" 503 " in await read_message(reader), "it never ran"
+                    assert b" 503 " in await read_message(reader), (
+                        "the request never ran, so the answer has to be a refusal"
+                    )
             assert here.upstream._open_count == 0
             writer.close()
 
@@ -315,7 +317,7 @@
         {"queue": 5.0, "qps": 0.0, "latency_ms": 1e308},
     ],
 )
-def test_an_absurd_report_stays_in_no_mean(load):
+def test_extreme_load_reports_do_not_distort_the_means(load):
     paper = Paper(servers=2)
     paper.answer(paper.accept(), 0, lag=20_000_000, **load)
     for _ in range(5):
@@ -324,13 +326,13 @@
     assert all(s.wait < 1e9 for s in paper.balancer.book.servers.values())
 
 
-def test_servers_that_are_gone_leave_nothing_behind():
+def test_removed_servers_leave_no_state_behind():
     async def main():
         new = traces()
         async with place(fine) as here:
             server = here.servers["s0"]
             for turn in range(30):
-                here.tell({f"n{turn}": server})  # a new id at the address of one that has gone
+                here.tell({f"n{turn}": server})  # a new id at the address of a removed one
                 assert await here.status(request(new())) == 200
             assert set(here.balancer.book.servers) == {"n29"}
             assert set(here.upstream._servers) == {"n29"}
@@ -342,7 +344,7 @@
     asyncio.run(main())
 
 
-def test_a_server_that_is_gone_is_kept_until_its_last_outcome():
+def test_removed_server_is_kept_until_its_last_outcome():
     paper = Paper(servers=2)
     tid = paper.accept()
     name = paper.sends(tid)[0]
@@ -352,9 +354,10 @@
     assert name not in paper.balancer.book.servers
 
 
-def test_a_connection_that_lacks_the_end_of_a_request_carries_no_other(monkeypatch):
-    """The server turned it away before its last byte was written: the next one would be read as its rest."""
-    monkeypatch.setattr(upstream, "DISTRUST_LAST_BYTE_DELAY_S", 5.0)  # it ends with the sign
+def test_connection_with_an_unfinished_request_is_not_reused(monkeypatch):
+    """If the server rejects a request before its last byte is written, it would read the next request on that
+    connection as the end of the first one."""
+    monkeypatch.setattr(upstream, "DISTRUST_LAST_BYTE_DELAY_S", 5.0)  # ended early by the reset
 
     async def turn_away_early(server, got, reader, writer):
         await fine(server, got, reader, writer)
@@ -369,44 +372,45 @@
             assert (await here.ask(request("b", cls="pay"))).endswith(b"for b")
             server = here.servers["s0"]
             assert (server.connections, len(server.got)) == (2, 2)
-            assert here.upstream._open_count == 1, "the first one is closed"
+            assert here.upstream._open_count == 1, "the first connection was not closed"
 
     asyncio.run(main())
 
 
-def test_answers_read_in_one_piece_or_in_many_are_the_same():
+def test_answers_are_parsed_the_same_in_one_piece_and_in_many():
     whole = b"HTTP/1.1 103 Early\r\n\r\n" + answer(b"abcdef", b"200 OK", b"X-A:", b"X-B:  b ")
     for size in (1, 7, len(whole)):
         reader = Reader(httptools.HttpResponseParser)
         for at in range(0, len(whole), size):
             reader.feed(whole[at : at + size])
-        early, head, *parts, end = reader.parts
-        assert (early, end) == (ResponseHead(103, [], {}), End.MESSAGE)
+        interim, head, *parts, end = reader.parts
+        assert (interim, end) == (ResponseHead(103, [], {}), End.MESSAGE)
         assert head.status == 200
         assert head.headers[1:] == [(b"x-a", b""), (b"x-b", b"b")]
         assert b"".join(parts) == b"abcdef"
         assert not reader.surplus
 
 
-def test_failed_connections_do_not_take_most_servers_out():
-    """Where a third of all connections comes up too late, a sidecar with few calls had every server in backoff by
-    turns and refused what most of them would have served. Past half of them the cause is shared."""
+def test_failed_connections_do_not_eject_most_servers():
+    """When a third of all connections were established too late, a sidecar with few calls put every server into
+    backoff in turn, and refused requests that most of them would have served. Once half of the servers are
+    ejected, the cause is assumed to be shared."""
 
     async def main():
         new = traces()
         async with place(fine, fine, fine, fine, limits={"maxAttempts": 4, "retryAfter": True}) as here:
             book = here.balancer.book
-            dead, well = (here.servers["s0"], here.servers["s1"]), (here.servers["s2"], here.servers["s3"])
+            dead, healthy = (here.servers["s0"], here.servers["s1"]), (here.servers["s2"], here.servers["s3"])
             for server in dead:
                 server.stop()
             while book.live > 2:
                 assert await here.status(request(new())) == 200
-            assert {s.name for s in book.up if not s.k} == {"s0", "s1"}, "a failure is a verdict on these"
-            for server in well:
+            assert {s.name for s in book.up if not s.k} == {"s0", "s1"}, "each failure has to eject its server"
+            for server in healthy:
                 server.stop()
-                here.upstream._close_idle(here.upstream._servers["s2" if server is well[0] else "s3"])
+                here.upstream._close_idle(here.upstream._servers["s2" if server is healthy[0] else "s3"])
             assert await here.status(request(new())) == 503
-            for server in well:
+            for server in healthy:
                 server._server = await asyncio.start_server(server._serve, *server.address)
             assert [await here.status(request(new())) for _ in range(6)] == [200] * 6
 
--- a/tests/test_timer_wheel.py
+++ b/tests/test_timer_wheel.py
@@ -1,4 +1,4 @@
-"""The timers of the request path, and a guard on how many calls a request costs."""
+"""The timer wheel of the request path, and an upper limit for the function calls that a request costs."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from covetally.net.timer_wheel import SLOT_WIDTH_S, TimerWheel
 from tests.loopback import fine, place, read_message, request
 
-CALLS = 128  # of functions of this program, for one request on kept connections; 122.1 when this was written
+MAX_CALLS = 128  # of functions of this program per request on reused connections; 122.1 when it was chosen
 
 
 @given(delays=st.lists(st.tuples(st.floats(0, 0.03), st.booleans()), min_size=1, max_size=40))
 @settings(max_examples=15, deadline=None, derandomize=True)
-def test_nothing_fires_early_or_twice_or_after_its_cancel(delays):
+def test_timers_fire_once_and_never_early_or_after_cancel(delays):
     async def main():
         wheel, loop, fired = TimerWheel(), asyncio.get_running_loop(), []
         start = loop.time()
@@ -29,20 +29,20 @@
             if cancelled:
                 timer.cancel()
                 timer.cancel()
-        wanted = {n for n, (_, cancelled) in enumerate(delays) if not cancelled}
+        expected = {n for n, (_, cancelled) in enumerate(delays) if not cancelled}
         async with asyncio.timeout(10):
-            while {n for n, _ in fired} < wanted:
+            while {n for n, _ in fired} < expected:
                 await asyncio.sleep(0.001)
         await asyncio.sleep(2 * SLOT_WIDTH_S)
-        assert sorted(n for n, _ in fired) == sorted(wanted)
+        assert sorted(n for n, _ in fired) == sorted(expected)
         assert all(at >= start + delays[n][0] for n, at in fired)
         slots = [int((start + delays[n][0]) / SLOT_WIDTH_S) for n, _ in fired]
-        assert slots == sorted(slots), "in the order of their slots"
+        assert slots == sorted(slots), "timers did not fire in the order of their slots"
 
     asyncio.run(main())
 
 
-def test_a_timer_that_fails_keeps_no_other_from_firing():
+def test_failing_timer_does_not_keep_others_from_firing():
     async def main():
         reported, fired, loop = [], asyncio.Event(), asyncio.get_running_loop()
         loop.set_exception_handler(lambda _, context: reported.append(context["message"]))
@@ -56,7 +56,7 @@
     asyncio.run(main())
 
 
-def test_timers_set_and_cancelled_from_within_a_timer():
+def test_timers_can_be_set_and_cancelled_in_a_timer_callback():
     async def main():
         wheel, loop, fired, done = TimerWheel(), asyncio.get_running_loop(), [], asyncio.Event()
         now = loop.time()
@@ -76,7 +76,7 @@
     asyncio.run(main())
 
 
-def test_a_request_costs_no_more_calls_than_it_did():
+def test_request_costs_no_more_function_calls_than_allowed():
     async def main():
         async with place(fine, fine, fine, fine) as here:
             reader, writer = await here.connect()
@@ -101,6 +101,6 @@
                 sys.setprofile(None)
             writer.close()
             each = sum(calls.values()) / 200
-            assert 30 < each <= CALLS, (each, calls.most_common(40))
+            assert 30 < each <= MAX_CALLS, (each, calls.most_common(40))
 
     asyncio.run(main())
