--- a/covetally/net/sidecar.py
+++ b/covetally/net/sidecar.py
@@ -116,13 +116,13 @@
         seed: int,
         clock: Clock,
         upstream: Upstream,
-        signal: Callable[[int, bytes], None],
+        send_gossip: Callable[[int, bytes], None],
         subscribe: Callable[[], None],
     ) -> None:
         self._clock = clock
         self.wheel = clock.wheel
         self._upstream = upstream
-        self._signal = signal
+        self._send_gossip = send_gossip
         self._subscribe = subscribe
         self._calls: dict[str, _Call] = {}
         self._accepted = 0
@@ -150,7 +150,7 @@
         return self._balancer.beliefs(self._clock.now())
 
     def zones(self) -> dict[str, int]:
-        """Returns the zone of each server on the list."""
+        """Returns the zone of each server that is up."""
         return self._balancer.zones()
 
     @property
@@ -278,11 +278,11 @@
             if type(action) is Submit:
                 self._submit(action, now)
             else:
-                self._carry_out(action)
+                self._execute(action)
 
     # --- actions --------------------------------------------------------------------------------
 
-    def _carry_out(self, action: Action) -> None:
+    def _execute(self, action: Action) -> None:
         match action:
             case Refuse(tid, hold_off_ns):
                 self._finish(tid, refusal(hold_off_ns))
@@ -295,7 +295,7 @@
             case Defer(in_ns, tag):
                 asyncio.get_running_loop().call_later(in_ns / 1e9, self._handle, Alarm(tag))
             case Signal(peer, blob):
-                self._signal(peer, blob)
+                self._send_gossip(peer, blob)
             case Subscribe():
                 self._subscribe()
 
