--- a/tests/crossings/test_ending.py
+++ b/tests/crossings/test_ending.py
@@ -128,7 +128,7 @@
             time.sleep(0.2)  # the loop is late: the timer is due
             os.write(asks.fileno(), request("two"))
             (connection,) = here.frontend._clients
-            connection._timer.call()  # and comes first
+            connection._timer.callback()  # and comes first
             assert (await read_message(reader)).endswith(b"for two")
             writer.close()
 
