--- a/tests/caps/test_processes.py
+++ b/tests/caps/test_processes.py
@@ -13,7 +13,7 @@
 from covetally.rig.faults import Faults
 from covetally.rig.schedule import Link, Step
 from covetally.rig.world import Shape, World
-from tests.loopback import WAIT_S, until
+from tests.loopback import TEST_TIMEOUT_S, wait_until
 
 SIZE, CAP = 5, 12
 TENANT = "officina-brescia"
@@ -46,11 +46,11 @@
                          ("never", STOPPED)])  # fmt: skip
 def test_all_sidecars_together_hold_no_more_than_the_cap_while_the_demand_moves_under(tmp_path, mode, fault):
     async def main():
-        async with asyncio.timeout(4 * WAIT_S), capped(tmp_path, CAPPED.format(mode=mode)) as (world, _):
+        async with asyncio.timeout(4 * TEST_TIMEOUT_S), capped(tmp_path, CAPPED.format(mode=mode)) as (world, _):
             crowd = Crowd(world, TENANT, CAP)
             runs = asyncio.create_task(crowd.run())
             crowd.wanted["a0"] = CAP
-            await until(lambda: len(crowd.served) >= 0.8 * CAP)
+            await wait_until(lambda: len(crowd.served) >= 0.8 * CAP)
             faulty = asyncio.create_task(Faults(world).play(FAULTS[fault]))
             await asyncio.sleep(0.7)
             if any(step.do == "stop" for step in FAULTS[fault]):
@@ -61,7 +61,7 @@
             crowd.stopped.clear()
             assert world.datagrams is not None
             world.datagrams.heal()
-            await until(lambda: sum(w in ("a1", "a4") for w in crowd.served.values()) >= 0.8 * CAP)
+            await wait_until(lambda: sum(w in ("a1", "a4") for w in crowd.served.values()) >= 0.8 * CAP)
             crowd.ended = True
             await runs
             assert crowd.over <= 0, f"{crowd.most} open of {CAP}"
@@ -72,11 +72,14 @@
 
 def test_two_that_want_all_of_a_cap_have_it_between_them_and_do_not_take_it_from_each_other_in_turn(tmp_path):
     async def main():
-        async with asyncio.timeout(4 * WAIT_S), capped(tmp_path, CAPPED.format(mode="lapses")) as (world, _):
+        async with (
+            asyncio.timeout(4 * TEST_TIMEOUT_S),
+            capped(tmp_path, CAPPED.format(mode="lapses")) as (world, _),
+        ):
             crowd = Crowd(world, TENANT, CAP, pause_s=0.1)  # which is no rest
             runs = asyncio.create_task(crowd.run())
             crowd.wanted["a0"] = crowd.wanted["a2"] = CAP
-            await until(lambda: len(crowd.served) >= 0.8 * CAP)
+            await wait_until(lambda: len(crowd.served) >= 0.8 * CAP)
             in_use = []
             for _ in range(60):
                 in_use.append(len(crowd.served))
@@ -91,14 +94,17 @@
 
 def test_a_greedy_tenants_storm_leaves_the_others_connections_as_they_were(tmp_path):
     async def main():
-        async with asyncio.timeout(3 * WAIT_S), capped(tmp_path, CAPPED.format(mode="lapses")) as (world, _):
+        async with (
+            asyncio.timeout(3 * TEST_TIMEOUT_S),
+            capped(tmp_path, CAPPED.format(mode="lapses")) as (world, _),
+        ):
             others, greedy = Crowd(world, "officina-verona", CAP), Crowd(world, TENANT, CAP, pause_s=0.0)
             tasks = [asyncio.create_task(crowd.run()) for crowd in (others, greedy)]
             others.wanted["a0"] = 8
-            await until(lambda: len(others.served) == 8)
+            await wait_until(lambda: len(others.served) == 8)
             before = set(others.served)
             greedy.wanted["a0"] = 100
-            await until(lambda: greedy.refused > 300 and len(greedy.served) >= 0.8 * CAP)
+            await wait_until(lambda: greedy.refused > 300 and len(greedy.served) >= 0.8 * CAP)
             assert set(others.served) == before and others.refused == 0
             assert greedy.over <= 0
             others.ended = greedy.ended = True
@@ -109,21 +115,24 @@
 
 def test_a_cap_lowered_under_way_is_reached_without_losing_a_request(tmp_path):
     async def main():
-        async with asyncio.timeout(3 * WAIT_S), capped(tmp_path, CAPPED.format(mode="lapses")) as (world, path):
+        async with (
+            asyncio.timeout(3 * TEST_TIMEOUT_S),
+            capped(tmp_path, CAPPED.format(mode="lapses")) as (world, path),
+        ):
             crowd = Crowd(world, TENANT, CAP)
             runs = asyncio.create_task(crowd.run())
             crowd.wanted["a0"] = crowd.wanted["a2"] = CAP
-            await until(lambda: len(crowd.served) >= 0.8 * CAP)
+            await wait_until(lambda: len(crowd.served) >= 0.8 * CAP)
             path.write_text(CAPPED.format(mode="lapses").replace(f"= {CAP}", "= 4"))
             for instance in world.instances.values():
                 instance.process.send_signal(signal.SIGHUP)
-            await until(lambda: len(crowd.served) <= 4)
+            await wait_until(lambda: len(crowd.served) <= 4)
             await asyncio.sleep(1.0)
             assert len(crowd.served) <= 4 and crowd.unanswered == 0
             path.write_text(CAPPED.format(mode="lapses"))
             for instance in world.instances.values():
                 instance.process.send_signal(signal.SIGHUP)
-            await until(lambda: len(crowd.served) >= 0.8 * CAP)
+            await wait_until(lambda: len(crowd.served) >= 0.8 * CAP)
             assert world.account.judge().kept
             crowd.ended = True
             await runs
@@ -141,7 +150,7 @@
 def test_what_cannot_hold_is_refused_in_one_line(tmp_path, text, said):
     async def main():
         with pytest.raises(RuntimeError, match="ended") as error:
-            async with asyncio.timeout(WAIT_S), capped(tmp_path, text):
+            async with asyncio.timeout(TEST_TIMEOUT_S), capped(tmp_path, text):
                 pass
         lines = [line for line in str(error.value).splitlines() if line]
         assert len(lines) == 1 and said in lines[0]
--- a/tests/control/test_keep_disk.py
+++ b/tests/control/test_keep_disk.py
@@ -23,7 +23,7 @@
 from covetally.rig.managed import Managed
 from covetally.rig.system_faults import Fault, FaultSchedule
 from covetally.rig.world import Shape, World
-from tests.loopback import WAIT_S, until
+from tests.loopback import TEST_TIMEOUT_S, wait_until
 from tests.test_process import ROOT
 
 OLD, NEW = b"old" * 1000, b"new" * 2000
@@ -92,7 +92,7 @@
     begin_s, end_s = 3.0, 7.0  # after the world was made
 
     async def main():
-        async with asyncio.timeout(2 * WAIT_S), Managed(Shape(nodes=1, instances=1)) as world:
+        async with asyncio.timeout(2 * TEST_TIMEOUT_S), Managed(Shape(nodes=1, instances=1)) as world:
             start_ns = time.monotonic_ns()
             span = (start_ns + int(begin_s * SECOND), start_ns + int(end_s * SECOND))
             world.instances["a0"].faults = FaultSchedule((Fault("fsync", "ENOSPC", *span),))
@@ -131,7 +131,7 @@
         monkeypatch.setattr(manager, "KEEP_AGAIN_S", 0.02)
         managed._memory = Memory(trial=Held(1, digest({}), {}))
         await managed._proven()
-        await until(path.exists)
+        await wait_until(path.exists)
         assert keep.read(path).memory.good.revision == 1
         assert caplog.text.count("make room on the disk") == 1
 
@@ -155,7 +155,7 @@
     end_s = 4.0  # after the world was made
 
     async def main():
-        async with asyncio.timeout(2 * WAIT_S), World(Shape(nodes=2, instances=1)) as world:
+        async with asyncio.timeout(2 * TEST_TIMEOUT_S), World(Shape(nodes=2, instances=1)) as world:
             end_ns = time.monotonic_ns() + int(end_s * SECOND)
             instance = world.instances["a0"]
             kept, operator = instance.folder / "roster.json", instance.folder / "operator.toml"
@@ -165,7 +165,7 @@
             await world.start_instances()
             await asyncio.sleep(max(0.0, (end_ns - time.monotonic_ns()) / SECOND) - 0.5)
             assert not kept.exists() and "roster.keep" in instance.log
-            await until(kept.exists)
+            await wait_until(kept.exists)
             members, _ = membership_keep.read(kept)
             assert sorted(member.id for member in members) == ["n0", "n1"]
             assert instance.log.count("make room on the disk") == 1
--- a/tests/crossings/test_cold_sum.py
+++ b/tests/crossings/test_cold_sum.py
@@ -11,7 +11,7 @@
 from covetally.rig.load import Load, Plan
 from covetally.rig.site import LOAD_CLASSES, TENANTS
 from covetally.rig.world import Shape, World
-from tests.loopback import WAIT_S, until
+from tests.loopback import TEST_TIMEOUT_S, wait_until
 
 READY_S = 10.0  # nine in ten of those that were started
 
@@ -23,7 +23,7 @@
 
     async def main():
         shape = Shape(nodes=5, instances=count, work_scale=2.0, cold_from=0.25, cold_ms=6000)
-        async with asyncio.timeout(4 * WAIT_S), World(shape) as world:
+        async with asyncio.timeout(4 * TEST_TIMEOUT_S), World(shape) as world:
             began = time.monotonic()
             ready = []
 
@@ -41,7 +41,7 @@
             planned = calm.draw() + [replace(p, at_s=p.at_s + 1.0) for p in burst.draw()]
             load = Load(world.account, addresses, calm, world.alive)
             played = asyncio.create_task(load.play(sorted(planned, key=lambda p: p.at_s)))
-            await until(lambda: all(node.seen["arrived"] for node in world.nodes.values()))
+            await wait_until(lambda: all(node.seen["arrived"] for node in world.nodes.values()))
             await world.kill_node("n1")
             await asyncio.sleep(0.5)
             before = {"n1": world.nodes["n1"].seen["arrived"]}
--- a/tests/crossings/test_ending.py
+++ b/tests/crossings/test_ending.py
@@ -14,25 +14,39 @@
 
 from covetally.net import client_connection
 from covetally.rig.world import Shape, World
-from tests.loopback import WAIT_S, Place, Server, answer, fine, place, read_message, request, until
+from tests.loopback import (
+    TEST_TIMEOUT_S,
+    SidecarHarness,
+    ScriptedServer,
+    response,
+    respond_ok,
+    sidecar_harness,
+    read_message,
+    request,
+    wait_until,
+)
 from tests.test_standing import get
 
 
 BODY = b"y" * 60_000
 
 
-async def large(server: Server, got: bytes, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+async def large(
+    server: ScriptedServer, got: bytes, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+) -> None:
     """The script of a server whose answers do not fit into small buffers."""
-    writer.write(answer(BODY))
+    writer.write(response(BODY))
 
 
-async def slow_reader(here: Place, receives: int, sends: int) -> tuple[socket.socket, client_connection.Client]:
+async def slow_reader(
+    here: SidecarHarness, receives: int, sends: int
+) -> tuple[socket.socket, client_connection.ClientConnection]:
     """A client that has read nothing yet, and its connection there; both kernels' buffers, in bytes."""
     asks = socket.socket()
     asks.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, receives)
     asks.connect(here.address)
     asks.setblocking(False)
-    await until(lambda: here.frontend._clients)
+    await wait_until(lambda: here.frontend._clients)
     (connection,) = here.frontend._clients
     connection.stream.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, sends)
     return asks, connection
@@ -58,14 +72,14 @@
 
         async def wait(server, got, reader, writer):
             await release.wait()
-            await fine(server, got, reader, writer)
+            await respond_ok(server, got, reader, writer)
 
         classes = [{"name": "look", "onTimeNs": 5 * 10**9, "hardLimitNs": 5 * 10**9, "repeat": "free"}]
-        async with place(wait, wait, clients=2, classes=classes) as here:
+        async with sidecar_harness(wait, wait, clients=2, classes=classes) as here:
             held = [await here.connect() for _ in range(2)]
             for number, (_, writer) in enumerate(held):
                 writer.write(request(f"held{number}", expires="5"))
-            await until(lambda: here.sidecar.open == 2)
+            await wait_until(lambda: here.sidecar.open == 2)
             waiting = asyncio.create_task(here.status(request("waits", expires="5")))
             await asyncio.sleep(0.05)
             assert here.frontend.connections == 2
@@ -83,9 +97,9 @@
     """With the last place taken the next look at the listener made room for a connection that had not come."""
 
     async def main():
-        async with place(fine, clients=3) as here:
+        async with sidecar_harness(respond_ok, clients=3) as here:
             held = [await here.connect() for _ in range(3)]
-            await until(lambda: here.frontend.connections == 3)
+            await wait_until(lambda: here.frontend.connections == 3)
             await asyncio.sleep(0.05)
             assert here.frontend.connections == 3
             for number, (reader, writer) in enumerate(held):
@@ -100,10 +114,10 @@
     """A close over unread bytes resets the connection, and with it goes what the kernel has still to send."""
 
     async def main():
-        async with place(large) as here:
+        async with sidecar_harness(large) as here:
             asks, connection = await slow_reader(here, receives=4096, sends=1024 * 1024)  # the rest waits
             asks.send(request("large", more="Connection: close\r\n"))
-            await until(lambda: here.frontend._order.lingering)
+            await wait_until(lambda: here.frontend._order.lingering)
             asks.send(b"more")  # the loop has not run since
             assert here.frontend._evict()
             got = b""
@@ -120,7 +134,7 @@
     monkeypatch.setattr(client_connection, "IDLE_S", 0.1)
 
     async def main():
-        async with place(fine) as here:
+        async with sidecar_harness(respond_ok) as here:
             asks = socket.create_connection(here.address)
             reader, writer = await asyncio.open_connection(sock=asks)
             writer.write(request("one"))
@@ -139,10 +153,10 @@
     """It did not say so, and its connection rested for seconds, while the process waited for it to end."""
 
     async def main():
-        async with place(large) as here:
+        async with sidecar_harness(large) as here:
             asks, connection = await slow_reader(here, receives=2048, sends=2048)
             asks.send(request("large"))
-            await until(lambda: connection._phase is client_connection.WRITING)
+            await wait_until(lambda: connection._phase is client_connection.WRITING)
             draining = asyncio.create_task(here.frontend.shut_down(5.0))
             await asyncio.sleep(0.8)  # past both looks at what rests
             assert connection._phase is client_connection.WRITING, "its client is slow"
@@ -202,11 +216,11 @@
     """A second SIGTERM, and a SIGHUP before and after the first, with requests under way at slow nodes."""
 
     async def main():
-        async with asyncio.timeout(WAIT_S), World(Shape(nodes=2, instances=1, work_scale=8.0)) as world:
+        async with asyncio.timeout(TEST_TIMEOUT_S), World(Shape(nodes=2, instances=1, work_scale=8.0)) as world:
             await world.start_instances()
             instance = world.instances["a0"]
             asks = [asyncio.create_task(status_of(instance.address, get(f"r{i}"))) for i in range(6)]
-            await until(lambda: sum(node.seen["arrived"] for node in world.nodes.values()) >= 2)
+            await wait_until(lambda: sum(node.seen["arrived"] for node in world.nodes.values()) >= 2)
             for number in (signal.SIGHUP, signal.SIGTERM, signal.SIGTERM, signal.SIGHUP, signal.SIGTERM):
                 instance.process.send_signal(number)
                 await asyncio.sleep(0.02)
@@ -221,7 +235,7 @@
 
 def test_a_drain_with_all_nodes_hung_answers_each_request_by_its_time():
     async def main():
-        async with asyncio.timeout(WAIT_S), World(Shape(nodes=2, instances=1)) as world:
+        async with asyncio.timeout(TEST_TIMEOUT_S), World(Shape(nodes=2, instances=1)) as world:
             await world.start_instances()
             instance = world.instances["a0"]
             for node in world.nodes.values():
@@ -244,7 +258,7 @@
     """What the sidecar needs itself is not theirs: requests are served, and a drain is known at the return."""
 
     async def main():
-        async with asyncio.timeout(2 * WAIT_S), World(Shape(nodes=3, instances=1, sockets=96)) as world:
+        async with asyncio.timeout(2 * TEST_TIMEOUT_S), World(Shape(nodes=3, instances=1, sockets=96)) as world:
             await world.start_instances()
             instance = world.instances["a0"]
             world.discovery.command(silent=True)
--- a/tests/crossings/test_leaving.py
+++ b/tests/crossings/test_leaving.py
@@ -13,10 +13,18 @@
 import pytest
 
 from covetally.net import upstream
-from tests.loopback import Place, answer, fine, place, read_message, request, until
+from tests.loopback import (
+    SidecarHarness,
+    response,
+    respond_ok,
+    sidecar_harness,
+    read_message,
+    request,
+    wait_until,
+)
 from tests.support import MS
 
-NEVER_RAN = answer(b"", b"503 Busy", b"X-Never-Ran: 1")
+NEVER_RAN = response(b"", b"503 Busy", b"X-Never-Ran: 1")
 WAYS = ("end", "reset", "half")
 
 
@@ -30,13 +38,13 @@
     sock.close()
 
 
-def client(here: Place) -> socket.socket:
+def client(here: SidecarHarness) -> socket.socket:
     sock = socket.create_connection(here.address)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     return sock
 
 
-def nothing_is_held(here: Place) -> bool:
+def nothing_is_held(here: SidecarHarness) -> bool:
     """Of requests, attempts, places in the queue and budgets."""
     book = here.balancer.book
     return not (
@@ -46,7 +54,7 @@
     )  # fmt: skip
 
 
-async def warm(here: Place) -> None:
+async def warm(here: SidecarHarness) -> None:
     """Have a connection at rest to each server, so that a request goes out in the moment it is submitted."""
     number = 0
     while not all(server.idle for server in here.upstream._servers.values()):
@@ -55,7 +63,7 @@
         number += 1
         await asyncio.sleep(0.01)
     for server in here.servers.values():
-        server.got.clear()
+        server.requests.clear()
 
 
 async def hang(server, got, reader, writer):
@@ -63,7 +71,7 @@
 
 
 @asynccontextmanager
-async def slow_to_come_up(here: Place, name: str, tell: bool = True) -> AsyncIterator[list[bytes]]:
+async def slow_to_accept(here: SidecarHarness, name: str, listed: bool = True) -> AsyncIterator[list[bytes]]:
     """A server to which connections come up only when this ends: its accept queue is full until then. Gives what
     was written to it. It is listed there at once, or when the test says so."""
     listener = socket.create_server(("127.0.0.1", 0), backlog=0)
@@ -75,8 +83,8 @@
         fillers.append(filler)
     await asyncio.sleep(0.02)
     here.servers[name].address = listener.getsockname()
-    if tell:
-        here.tell(here.servers)
+    if listed:
+        here.update_servers(here.servers)
     got: list[bytes] = []
     try:
         yield got
@@ -102,20 +110,20 @@
 @pytest.mark.parametrize("way", WAYS)
 def test_while_it_is_held_in_order(way):
     async def main():
-        async with place(hang) as here:
+        async with sidecar_harness(hang) as here:
             first, trial, waits = client(here), client(here), client(here)  # its budget, and one call as a trial
             first.send(request("first"))
             trial.send(request("trial"))
-            await until(lambda: len(here.servers["s0"].got) == 2)
+            await wait_until(lambda: len(here.servers["s0"].requests) == 2)
             waits.send(request("waits"))
-            await until(lambda: here.balancer.book.held)
+            await wait_until(lambda: here.balancer.book.held)
             leave(waits, way)
-            await until(lambda: not here.balancer.book.held)
+            await wait_until(lambda: not here.balancer.book.held)
             leave(first, "end")
             leave(trial, "end")
-            await until(lambda: nothing_is_held(here))
+            await wait_until(lambda: nothing_is_held(here))
             await asyncio.sleep(0.05)
-            assert len(here.servers["s0"].got) == 2
+            assert len(here.servers["s0"].requests) == 2
             waits.close()
 
     asyncio.run(main())
@@ -126,13 +134,13 @@
     limits = {"maxAttempts": 4, "connectTimeoutNs": 3_000 * MS}
 
     async def main():
-        async with place(fine, limits=limits) as here:
-            async with slow_to_come_up(here, "s0") as got:
+        async with sidecar_harness(respond_ok, limits=limits) as here:
+            async with slow_to_accept(here, "s0") as got:
                 asks = client(here)
                 asks.send(request("gone", expires="5"))
-                await until(lambda: here.upstream.connections == 1)
+                await wait_until(lambda: here.upstream.connections == 1)
                 leave(asks, way)
-                await until(lambda: nothing_is_held(here))
+                await wait_until(lambda: nothing_is_held(here))
                 assert here.upstream.connections == 0
                 asks.close()
             assert not any(got), "the connection came up for nobody"
@@ -149,17 +157,17 @@
         monkeypatch.setattr(upstream, "WARY_HOLD_BACK_S", 0.3)
 
     async def main():
-        async with place(fine) as here:
+        async with sidecar_harness(respond_ok) as here:
             assert await here.status(request("one")) == 200
             here.upstream.broke()
             asks = client(here)
             asks.send(request("gone"))
-            await until(lambda: here.sidecar._calls)
+            await wait_until(lambda: here.sidecar._calls)
             await asyncio.sleep(0.02)
             leave(asks, way)
-            await until(lambda: nothing_is_held(here))
+            await wait_until(lambda: nothing_is_held(here))
             await asyncio.sleep(0.4)
-            assert len(here.servers["s0"].got) == 1
+            assert len(here.servers["s0"].requests) == 1
             asks.close()
 
     asyncio.run(main())
@@ -179,10 +187,10 @@
             await asyncio.sleep(0.2)
             writer.write(NEVER_RAN)
 
-        async with place(turn_away, turn_away) as here:
+        async with sidecar_harness(turn_away, turn_away) as here:
             asks = client(here)
             asks.send(request("gone"))
-            await until(lambda: any(server.got for server in here.servers.values()))
+            await wait_until(lambda: any(server.requests for server in here.servers.values()))
             if more:
                 asks.setblocking(False)
                 left = more
@@ -193,9 +201,9 @@
                         await asyncio.sleep(0.002)
             leave(asks, way)
             gone.set()
-            await until(lambda: nothing_is_held(here))
+            await wait_until(lambda: nothing_is_held(here))
             await asyncio.sleep(0.4)
-            assert sum(len(server.got) for server in here.servers.values()) == 1
+            assert sum(len(server.requests) for server in here.servers.values()) == 1
             asks.close()
 
     asyncio.run(main())
@@ -209,19 +217,19 @@
 
         async def wait(server, got, reader, writer):
             await release.wait()
-            await fine(server, got, reader, writer)
+            await respond_ok(server, got, reader, writer)
 
-        async with place(wait) as here:
+        async with sidecar_harness(wait) as here:
             reader, writer = await here.connect()
             writer.write(request("kept"))
-            await until(lambda: here.servers["s0"].got)
+            await wait_until(lambda: here.servers["s0"].requests)
             writer.write(b"x" * 100_000 + request("hidden"))
             await writer.drain()
             release.set()
             got = await read_message(reader)
             assert got.endswith(b"for kept") and b"connection: close" in got.lower()
             assert await reader.read() == b""
-            assert len(here.servers["s0"].got) == 1
+            assert len(here.servers["s0"].requests) == 1
             writer.close()
 
     asyncio.run(main())
@@ -239,16 +247,16 @@
             leave(asks, way)
             time.sleep(0.2)  # all in this process: the sidecar finds both when it runs again, the answer first
 
-        async with place(fine, fine) as here:
+        async with sidecar_harness(respond_ok, respond_ok) as here:
             await warm(here)
             for server in here.servers.values():
                 server.script = turn_away
             asks.connect(here.address)
             asks.send(request("gone"))
-            await until(lambda: any(server.got for server in here.servers.values()))
-            await until(lambda: nothing_is_held(here))
+            await wait_until(lambda: any(server.requests for server in here.servers.values()))
+            await wait_until(lambda: nothing_is_held(here))
             await asyncio.sleep(0.1)
-            assert sum(len(server.got) for server in here.servers.values()) == 1
+            assert sum(len(server.requests) for server in here.servers.values()) == 1
             asks.close()
 
     asyncio.run(main())
@@ -260,7 +268,7 @@
     monkeypatch.setattr("covetally.net.client_connection.LOOK_NS", 0)
 
     async def main():
-        async with place(fine) as here:
+        async with sidecar_harness(respond_ok) as here:
             await warm(here)
             asks = client(here)
             due, found = here.frontend.read_scheduler.may_read_now, []
@@ -272,10 +280,10 @@
 
             here.frontend.read_scheduler.may_read_now = late
             asks.send(request("gone"))
-            await until(lambda: found)
+            await wait_until(lambda: found)
             assert found[0] is False
-            await until(lambda: nothing_is_held(here))
+            await wait_until(lambda: nothing_is_held(here))
             await asyncio.sleep(0.05)
-            assert not here.servers["s0"].got
+            assert not here.servers["s0"].requests
 
     asyncio.run(main())
--- a/tests/crossings/test_list.py
+++ b/tests/crossings/test_list.py
@@ -14,7 +14,7 @@
 from covetally.net.discovery import Discovery
 from covetally.net.server_list import ListUpdate
 from covetally.policy.roster import ASK_GAP
-from tests.loopback import Server, answer, place, until
+from tests.loopback import ScriptedServer, response, sidecar_harness, wait_until
 from tests.support import MS, Paper, settings
 
 LONGEST_S = 1.8 * ASK_GAP / 1e9
@@ -25,7 +25,7 @@
         {"instanceId": f"s{i}", "hostPort": f"127.0.0.1:{9 + i}", "lifecycle": state}
         for i, state in enumerate(lifecycles)
     ]
-    return answer(json.dumps({"generation": generation, "reset": whole, "instances": instances}).encode())
+    return response(json.dumps({"generation": generation, "reset": whole, "instances": instances}).encode())
 
 
 def test_the_time_until_news_is_told_has_room_for_what_may_fail_on_the_way():
@@ -64,7 +64,7 @@
         async def discover(server, got, reader, writer):
             if not state["ok"]:
                 if failure == "503":
-                    writer.write(answer(b"", b"503 Busy"))
+                    writer.write(response(b"", b"503 Busy"))
                 writer.close()
                 return
             lifecycles = ("active", "leaving" if state["drains"] else "active")
@@ -72,8 +72,10 @@
                 await asyncio.sleep(0.3)
             writer.write(members(next(numbers), *lifecycles))
 
-        async with place(more={"discovery": "subscribe", "invariants": {"mustAskInNs": 10_000 * MS}}) as here:
-            server = Server(discover)
+        async with sidecar_harness(
+            more={"discovery": "subscribe", "invariants": {"mustAskInNs": 10_000 * MS}}
+        ) as here:
+            server = ScriptedServer(discover)
             await server.start()
             told: list[tuple[float, ListUpdate]] = []
             discovery = Discovery(here.sidecar._balancer.book.settings, server.address)
@@ -85,18 +87,18 @@
             here.sidecar._subscribe = discovery.subscribe
             here.balancer.book.random = lambda: 0.999
             here.sidecar.directory(Directory("FAILED"))
-            await until(lambda: told)
+            await wait_until(lambda: told)
             state["ok"] = False
             if failure == "refused":
                 server.stop()
             await asyncio.sleep(5.0)  # some failures: the pauses had grown
             if failure == "refused":
-                again = Server(discover)
+                again = ScriptedServer(discover)
                 again._server = await asyncio.start_server(again._serve, *server.address)
                 server = again
             state.update(ok=True, drains=True)
             back = time.monotonic()
-            await until(lambda: told[-1][0] > back)
+            await wait_until(lambda: told[-1][0] > back)
             assert told[-1][0] - back < LONGEST_S + 0.5
             assert told[-1][1].entries[1][0].lifecycle == "draining"
             discovery.stop()
@@ -128,18 +130,18 @@
                 await asyncio.Event().wait()
             writer.write(members(3, "active"))
 
-        async with place(more={"invariants": {"drainGraceNs": 500 * MS}}) as here:
-            server = Server(discover)
+        async with sidecar_harness(more={"invariants": {"drainGraceNs": 500 * MS}}) as here:
+            server = ScriptedServer(discover)
             await server.start()
             told: list[float] = []
             discovery = Discovery(here.sidecar._balancer.book.settings, server.address)
             discovery.on_list = lambda news: told.append(time.monotonic())
             discovery.on_failure = lambda: None
             discovery.start()
-            await until(lambda: server.got)
+            await wait_until(lambda: server.requests)
             state["silent"] = False
             back = time.monotonic()
-            await until(lambda: told)
+            await wait_until(lambda: told)
             assert told[0] - back < 0.45
             discovery.stop()
             server.stop()
@@ -159,7 +161,7 @@
                 await asyncio.sleep(0.6)  # longer than a look's patience; the calls beside it fail at once
                 writer.write(members(3, "active"))
             elif b"wait=2000" not in got:
-                writer.write(answer(b"", b"503 Busy"))
+                writer.write(response(b"", b"503 Busy"))
             else:
                 state["watching"] += 1
                 state["most"] = max(state["most"], state["watching"])
@@ -167,14 +169,14 @@
                 state["watching"] -= 1
                 writer.write(members(3, whole=False))
 
-        async with place(more={"invariants": {"drainGraceNs": 500 * MS}}) as here:
-            server = Server(discover)
+        async with sidecar_harness(more={"invariants": {"drainGraceNs": 500 * MS}}) as here:
+            server = ScriptedServer(discover)
             await server.start()
             told: list[ListUpdate] = []
             discovery = Discovery(here.sidecar._balancer.book.settings, server.address)
             discovery.on_list = told.append
             discovery.start()
-            await until(lambda: told)
+            await wait_until(lambda: told)
             await asyncio.sleep(1.0)
             assert state["most"] == 1
             discovery.stop()
--- a/tests/crossings/test_retrying.py
+++ b/tests/crossings/test_retrying.py
@@ -9,8 +9,8 @@
 
 from covetally.interface import How, Submit
 from covetally.net import sidecar, upstream
-from tests.crossings.test_leaving import slow_to_come_up
-from tests.loopback import fine, place, read_message, request, until
+from tests.crossings.test_leaving import slow_to_accept
+from tests.loopback import respond_ok, sidecar_harness, read_message, request, wait_until
 from tests.support import MS, Paper, settings
 
 CLASSES = [
@@ -43,16 +43,16 @@
 
     async def main():
         async def cut(server, got, reader, writer):
-            here.tell(here.servers)  # only now the slow one is there
+            here.update_servers(here.servers)  # only now the slow one is there
             writer.close()
 
-        async with place(cut, fine, limits=LIMITS, classes=CLASSES) as here:
-            here.tell({"s0": here.servers["s0"]})
-            async with slow_to_come_up(here, "s1", tell=False) as got:
+        async with sidecar_harness(cut, respond_ok, limits=LIMITS, classes=CLASSES) as here:
+            here.update_servers({"s0": here.servers["s0"]})
+            async with slow_to_accept(here, "s1", listed=False) as got:
                 more = "Idempotency-Key: k1\r\n"
                 asks = asyncio.create_task(here.status(request("r1", "book", b"x", "2.5", more)))
-                await until(lambda: here.servers["s0"].got)
-                await until(lambda: here.upstream.connections)
+                await wait_until(lambda: here.servers["s0"].requests)
+                await wait_until(lambda: here.upstream.connections)
                 await asyncio.sleep(0.5)
                 assert here.upstream.connections == 1, "the repeat's, still coming up"
             assert not any(got)
@@ -67,15 +67,15 @@
     monkeypatch.setattr(sidecar, "SWEEP_S", 9.0)  # it would bring the timers forward in which its time is up
 
     async def main():
-        async with place(fine) as here:
+        async with sidecar_harness(respond_ok) as here:
             reader, writer = await here.connect()
             writer.write(request("one"))
             await read_message(reader)
             writer.write(request("two", expires="0.2"))
-            await until(lambda: here.sidecar._calls)
+            await wait_until(lambda: here.sidecar._calls)
             time.sleep(0.4)
             assert (await read_message(reader)).split()[1] in (b"502", b"503")
-            assert len(here.servers["s0"].got) == 1
+            assert len(here.servers["s0"].requests) == 1
             writer.close()
 
     asyncio.run(main())
@@ -86,15 +86,15 @@
     the news was known here. And nothing is held against a server for its drain."""
 
     async def main():
-        async with place(fine, fine, limits=LIMITS) as here:
+        async with sidecar_harness(respond_ok, respond_ok, limits=LIMITS) as here:
             slow, other = here.servers["s0"], here.servers["s1"]
-            here.tell({"s0": slow})
-            async with slow_to_come_up(here, "s0", tell=False) as got:
-                here.tell({"s0": slow})
+            here.update_servers({"s0": slow})
+            async with slow_to_accept(here, "s0", listed=False) as got:
+                here.update_servers({"s0": slow})
                 asks = asyncio.create_task(here.ask(request("r1")))
-                await until(lambda: here.upstream.connections)
-                here.tell({"s1": other}, "INCREMENTAL")
-                here.tell({"s0": slow}, "INCREMENTAL", "draining")
+                await wait_until(lambda: here.upstream.connections)
+                here.update_servers({"s1": other}, "INCREMENTAL")
+                here.update_servers({"s0": slow}, "INCREMENTAL", "draining")
                 assert (await asks).endswith(b"for r1")
                 assert here.balancer.book.servers["s0"].refused == 0
             assert not any(got)
@@ -117,7 +117,7 @@
     async def main():
         limit = int(expires_s * 1000) * MS
         classes = [{"name": "look", "onTimeNs": limit, "hardLimitNs": limit, "repeat": "free"}]
-        async with place(late_then_cut, late_then_cut, classes=classes) as here:
+        async with sidecar_harness(late_then_cut, late_then_cut, classes=classes) as here:
             begun = time.monotonic()
             await here.status(request("r1", expires=f"{expires_s:.3f}"))
             assert seen
--- a/tests/drainplan/test_processes.py
+++ b/tests/drainplan/test_processes.py
@@ -19,14 +19,14 @@
 from covetally.rig.site import LOAD_CLASSES, TENANTS
 from covetally.rig.together import KNOWN_S, ORDER
 from covetally.rig.world import Shape
-from tests.loopback import WAIT_S, until
+from tests.loopback import TEST_TIMEOUT_S, wait_until
 
 SIZE = 6  # two in each of the zones a, b, c
 
 
 @contextlib.asynccontextmanager
 async def supervised(module: str = COMMAND):
-    async with asyncio.timeout(4 * WAIT_S), Managed(Shape(nodes=3, instances=SIZE)) as world:
+    async with asyncio.timeout(4 * TEST_TIMEOUT_S), Managed(Shape(nodes=3, instances=SIZE)) as world:
         await world.start_supervised(module)
         await asyncio.sleep(3.2)  # a new agent listens first
         watch = Watch(world)
@@ -74,7 +74,7 @@
                 await asyncio.sleep(0.3 + 0.4 * turn)
                 await world.kill_agent()
                 await world.start_supervisor()
-                await until(lambda: world.agent.returncode is None)
+                await wait_until(lambda: world.agent.returncode is None)
             await until_phase(world, "done")
             await world.connected()
             after = await pids(world)
@@ -150,7 +150,7 @@
             watch.faulty["a0"] = time.monotonic()
             await asyncio.sleep(KNOWN_S)
             assert (await world.command("drain", "start", "-s", "name=a3", *ORDER))[0] == 0
-            await until(lambda: watch.moves)
+            await wait_until(lambda: watch.moves)
             os.kill(pid, signal.SIGCONT)
             assert [line[:22] for line in watch.broken(1, KNOWN_S)] == ["floor: a3 went out, a0"]
 
@@ -165,7 +165,7 @@
 )  # fmt: skip
 def test_what_a_tired_operator_says_is_refused_in_one_line_with_what_to_do(words, said):
     async def main():
-        async with asyncio.timeout(WAIT_S), Managed(Shape(nodes=1, instances=2)) as world:
+        async with asyncio.timeout(TEST_TIMEOUT_S), Managed(Shape(nodes=1, instances=2)) as world:
             await world.start_agent()
             await world.start_instances()
             await world.connected()
--- a/tests/incidents/test_crowd.py
+++ b/tests/incidents/test_crowd.py
@@ -13,7 +13,7 @@
 
 from covetally.net.eviction import NEWCOMER_S
 from covetally.rig.world import Shape, World
-from tests.loopback import WAIT_S, read_message
+from tests.loopback import TEST_TIMEOUT_S, read_message
 from tests.test_standing import get
 
 SOCKETS = 256
@@ -29,7 +29,7 @@
     """A first request: how long after its client began to connect it was sent, and what came back."""
 
     sent_after_s: float
-    answer: bytes
+    response: bytes
 
 
 def crowd(address: tuple[str, int], count: int) -> list[socket.socket]:
@@ -55,7 +55,7 @@
 def test_a_first_request_is_answered_though_a_crowd_of_idle_connections_comes_with_it():
     async def main():
         shape = Shape(nodes=2, instances=1, sockets=SOCKETS)
-        async with asyncio.timeout(2 * WAIT_S), World(shape) as world:
+        async with asyncio.timeout(2 * TEST_TIMEOUT_S), World(shape) as world:
             await world.start_instances()
             address = world.instances["a0"].address
             prompt: list[Asked] = []
@@ -65,7 +65,7 @@
                 prompt += [asked for asked in await asyncio.gather(*clients) if asked.sent_after_s < PROMPT_S]
                 for idler in idlers:
                     idler.close()
-                assert [asked for asked in prompt if b" 200 " not in asked.answer] == []
+                assert [asked for asked in prompt if b" 200 " not in asked.response] == []
                 if len(prompt) >= PROMPT_CLIENTS and turn >= len(CROWDS):
                     break
 
--- a/tests/incidents/test_guards.py
+++ b/tests/incidents/test_guards.py
@@ -12,7 +12,7 @@
 from covetally.net.repeat_guard import may_repeat
 from covetally.net.shutdown_times import shutdown_times
 from covetally.policy import way
-from tests.loopback import fine, place, request, until
+from tests.loopback import respond_ok, sidecar_harness, request, wait_until
 from tests.support import MS
 
 
@@ -25,9 +25,9 @@
     monkeypatch.setattr(way, "may_go", lambda b, now, call, server: True)
 
     async def main():
-        async with place(cut, cut) as here:
+        async with sidecar_harness(cut, cut) as here:
             assert await here.status(request("pays", "pay", b"x")) in (502, 503)
-            got = [data for server in here.servers.values() for data in server.got]
+            got = [data for server in here.servers.values() for data in server.requests]
             assert len(got) == 1
             assert set(here.sidecar.violations.table()) == {"unsafe_repeat"}
             assert "request pays: attempt 1 at" in caplog.text
@@ -42,10 +42,10 @@
         async def wait(server, got, reader, writer):
             await hold.wait()
 
-        async with place(wait) as here:
+        async with sidecar_harness(wait) as here:
             for reason in (CloseReason.CLIENT_LEFT, CloseReason.IDLE):
                 asks = asyncio.create_task(here.status(request(reason.value)))
-                await until(lambda: here.sidecar.open == 1)
+                await wait_until(lambda: here.sidecar.open == 1)
                 (client,) = here.frontend._clients
                 client.close(reason)
                 assert await asks == 0
@@ -58,11 +58,11 @@
 
 def test_each_attempt_and_each_answer_is_logged_with_the_id_where_that_is_asked_for(caplog):
     async def main():
-        async with place(fine) as here:
+        async with sidecar_harness(respond_ok) as here:
             here.sidecar.tracing = True
             with caplog.at_level(logging.DEBUG):
                 assert await here.status(request("seen")) == 200
-                await until(lambda: not here.frontend.connections)
+                await wait_until(lambda: not here.frontend.connections)
         assert "request seen: attempt 0 at s0" in caplog.text
         assert "request seen: attempt 0 ended: OK" in caplog.text
         assert "connection closed: client_left; its last request: b'seen'" in caplog.text
@@ -100,7 +100,7 @@
     """A worker that was told to serve again while it ended let clients keep their connections."""
 
     async def main():
-        async with place(fine) as here:
+        async with sidecar_harness(respond_ok) as here:
             held = await here.connect()
             draining = asyncio.create_task(here.frontend.shut_down(2.0))
             await asyncio.sleep(0)
--- a/tests/incidents/test_lost_signal.py
+++ b/tests/incidents/test_lost_signal.py
@@ -11,7 +11,7 @@
 import time
 
 from covetally.rig.system_faults import Fault, FaultSchedule
-from tests.incidents.test_shutdown import ask, ending
+from tests.incidents.test_shutdown import encode_request, sidecar_with_hung_nodes
 
 LOST_WAKEUP = FaultSchedule((Fault("wakeup", "EAGAIN"),))
 LONGEST_S = 1.0
@@ -20,10 +20,10 @@
 
 async def end(number: signal.Signals, busy: bool) -> None:
     """A process that is told to end, with requests under way or with nothing to do."""
-    async with ending(LONGEST_S, LOST_WAKEUP) as it:
+    async with sidecar_with_hung_nodes(LONGEST_S, LOST_WAKEUP) as it:
         clients = [await it.connect() for _ in range(3)] if busy else []
         asked = [
-            asyncio.create_task(client.exchange(f"r{i}", ask(f"r{i}", "free", LONGEST_S)))
+            asyncio.create_task(client.exchange(f"r{i}", encode_request(f"r{i}", "free", LONGEST_S)))
             for i, client in enumerate(clients)
         ]
         await asyncio.sleep(0.05 if busy else 1.0)
@@ -34,7 +34,7 @@
 
 async def reload() -> None:
     """A process that is told of a new configuration."""
-    async with ending(LONGEST_S, LOST_WAKEUP) as it:
+    async with sidecar_with_hung_nodes(LONGEST_S, LOST_WAKEUP) as it:
         path = it.instance.folder / "config.json"
         config = json.loads(path.read_text())
         config["discovery"] = f"127.0.0.1:{await it.world.move_discovery('a0')}"
--- a/tests/incidents/test_orders.py
+++ b/tests/incidents/test_orders.py
@@ -14,7 +14,7 @@
 from covetally.rig.managed import QUICK, Managed
 from covetally.rig.site import LOAD_CLASSES
 from covetally.rig.world import Shape
-from tests.loopback import WAIT_S, read_message
+from tests.loopback import TEST_TIMEOUT_S, read_message
 from tests.test_standing import get
 
 PLATFORM_ROSTER = f'{QUICK}\n[roster]\nsource = "platform"'
@@ -59,7 +59,7 @@
 def test_a_drain_and_a_hold_outlive_the_process_that_they_were_given_to():
     async def main():
         shape = Shape(nodes=1, instances=2)
-        async with asyncio.timeout(2 * WAIT_S), Managed(shape, control=PLATFORM_ROSTER) as world:
+        async with asyncio.timeout(2 * TEST_TIMEOUT_S), Managed(shape, control=PLATFORM_ROSTER) as world:
             await world.start_supervised()
             assert (await world.command("drain", "-s", "name=a0"))[0] == 0
             assert (await world.command("roster", "hold", "-s", "name=a0"))[0] == 0
@@ -110,7 +110,7 @@
 
 def test_a_drain_ends_with_no_connection_and_no_request_and_newcomers_are_refused():
     async def main():
-        async with asyncio.timeout(2 * WAIT_S), Managed(Shape(nodes=2, instances=1)) as world:
+        async with asyncio.timeout(2 * TEST_TIMEOUT_S), Managed(Shape(nodes=2, instances=1)) as world:
             await world.start_supervised()
             address = world.instances["a0"].address
             answers: list[bytes] = []
--- a/tests/incidents/test_shutdown.py
+++ b/tests/incidents/test_shutdown.py
@@ -19,7 +19,7 @@
 from covetally.rig.account import SECOND
 from covetally.rig.system_faults import Fault, FaultSchedule
 from covetally.rig.world import InstanceProcess, Shape, World
-from tests.loopback import WAIT_S, read_message
+from tests.loopback import TEST_TIMEOUT_S, read_message
 
 COUNTED_S, GRACE_S = 3.0, 0.7  # of the longest deadline, and after it: SIGKILL comes no sooner
 LONGEST_S = [0.2, 0.3, 1.0, 2.5, 3.0, 5.0, 10.0]
@@ -31,7 +31,7 @@
     return min(longest_s, COUNTED_S) + GRACE_S
 
 
-def ask(name: str, cls: str, expires_s: float) -> bytes:
+def encode_request(name: str, cls: str, expires_s: float) -> bytes:
     """A request whole; its class tells whether it may be repeated."""
     method = "GET" if cls == "free" else "POST"
     lines = [
@@ -58,9 +58,9 @@
     async def exchange(self, name: str, data: bytes) -> bool:
         """Send one request; whether an answer came and the connection lets another follow."""
         self.writer.write(data)
-        return await self.answer(name)
+        return await self.read_response(name)
 
-    async def answer(self, name: str) -> bool:
+    async def read_response(self, name: str) -> bool:
         """Await the answer; see `exchange`."""
         try:
             got = await read_message(self.reader)
@@ -72,7 +72,7 @@
         return b"connection: close" not in got.lower()
 
 
-class Ending:
+class ShutdownRun:
     """One sidecar before hung nodes, that is told to end and killed as early as it may be."""
 
     def __init__(self, world: World, longest_s: float) -> None:
@@ -108,9 +108,11 @@
 
 
 @asynccontextmanager
-async def ending(longest_s: float, faults: FaultSchedule | None = None) -> AsyncIterator[Ending]:
+async def sidecar_with_hung_nodes(
+    longest_s: float, faults: FaultSchedule | None = None
+) -> AsyncIterator[ShutdownRun]:
     """A sidecar whose nodes all hang, with a class of each kind at this deadline, and aims as late as that."""
-    async with asyncio.timeout(2 * WAIT_S), World(Shape(nodes=2, instances=1)) as world:
+    async with asyncio.timeout(2 * TEST_TIMEOUT_S), World(Shape(nodes=2, instances=1)) as world:
         limit = int(longest_s * SECOND)
         world.instances["a0"].config["settings"]["classes"] = [
             {"name": repeat, "onTimeNs": limit, "hardLimitNs": limit, "repeat": repeat, "windowNs": SECOND}
@@ -120,25 +122,25 @@
         await world.start_instances()
         for name in world.nodes:
             world.mood(name, deaf=True)
-        yield Ending(world, longest_s)
+        yield ShutdownRun(world, longest_s)
 
 
-async def keep_asking(it: Ending, after_s: float, clients: list[Client]) -> None:
+async def keep_asking(it: ShutdownRun, after_s: float, clients: list[Client]) -> None:
     """A client that connects so long after SIGTERM, and asks again at once for as long as it may."""
     await asyncio.sleep(after_s)
     client = await it.connect()
     clients.append(client)
     turn = 0
-    while await client.exchange(f"{after_s}-{turn}", ask(f"{after_s}-{turn}", "free", it.longest_s)):
+    while await client.exchange(f"{after_s}-{turn}", encode_request(f"{after_s}-{turn}", "free", it.longest_s)):
         turn += 1
 
 
 async def take_before_and_after(longest_s: float) -> None:
     """Requests of each kind that were taken before SIGTERM, and clients that come up to 0.4 s after it."""
-    async with ending(longest_s) as it:
+    async with sidecar_with_hung_nodes(longest_s) as it:
         clients = [await it.connect() for _ in REPEATS]
         asked = [
-            asyncio.create_task(client.exchange(repeat, ask(repeat, repeat, longest_s)))
+            asyncio.create_task(client.exchange(repeat, encode_request(repeat, repeat, longest_s)))
             for repeat, client in zip(REPEATS, clients, strict=True)
         ]
         await asyncio.sleep(min(0.05, longest_s / 4))
@@ -150,10 +152,10 @@
 
 async def send_slowly(longest_s: float) -> None:
     """Clients that are slow to send, some until shortly before SIGKILL, one for good, one that never speaks."""
-    async with ending(longest_s) as it:
+    async with sidecar_with_hung_nodes(longest_s) as it:
         shares = [0.1, 0.3, 0.5, 0.7, 0.8, 0.9]  # of the time until SIGKILL
         clients = [await it.connect() for _ in shares]
-        whole = [ask(f"slow{number}", "single_shot", longest_s) for number in range(len(shares))]
+        whole = [encode_request(f"slow{number}", "single_shot", longest_s) for number in range(len(shares))]
         for client, data in zip(clients, whole, strict=True):
             client.writer.write(data[:-9])
         stuck, silent = await it.connect(), await it.connect()
@@ -166,7 +168,7 @@
             if client.reader.at_eof() or client.reader.exception() is not None:
                 return  # closed before it was a request: nothing is owed
             client.writer.write(whole[number][-9:])
-            await client.answer(f"slow{number}")
+            await client.read_response(f"slow{number}")
 
         finishing = [asyncio.create_task(finish(number, share)) for number, share in enumerate(shares)]
         await it.terminate()
@@ -202,12 +204,12 @@
 
     async def main():
         begin_ns = time.monotonic_ns() + int(begin_s * SECOND)
-        async with ending(1.0, FaultSchedule((Fault("accept", how, begin_ns),))) as it:
+        async with sidecar_with_hung_nodes(1.0, FaultSchedule((Fault("accept", how, begin_ns),))) as it:
             clients = [await it.connect() for _ in range(3)]
             await asyncio.sleep((begin_ns - time.monotonic_ns()) / SECOND)
             asked_at = time.monotonic()
             asked = [
-                asyncio.create_task(client.exchange(f"r{number}", ask(f"r{number}", "free", 1.0)))
+                asyncio.create_task(client.exchange(f"r{number}", encode_request(f"r{number}", "free", 1.0)))
                 for number, client in enumerate(clients)
             ]
             await asyncio.sleep(0.02)
--- a/tests/incidents/test_slow_discovery.py
+++ b/tests/incidents/test_slow_discovery.py
@@ -13,7 +13,7 @@
 from covetally.rig.load import Load, Plan
 from covetally.rig.site import LOAD_CLASSES, TENANTS
 from covetally.rig.world import Shape, World
-from tests.loopback import WAIT_S
+from tests.loopback import TEST_TIMEOUT_S
 
 RATE = 80
 SLACK_S = 0.3  # for a loaded machine
@@ -29,7 +29,7 @@
 async def sent_late(pushed: bool, late_s: float, silent_s: float) -> int:
     """How many requests began at n1 after it had to be known that it leaves, where each answer of discovery comes
     so late. Calls that were made while it was silent are never answered."""
-    async with asyncio.timeout(2 * WAIT_S), World(Shape(nodes=4, instances=1)) as world:
+    async with asyncio.timeout(2 * TEST_TIMEOUT_S), World(Shape(nodes=4, instances=1)) as world:
         instance = world.instances["a0"]
         entries = [dict(node.entry) for node in world.nodes.values()]
         instance.config["known"] = {"generation": 1, "reset": True, "instances": entries}
--- a/tests/incidents/test_system_calls.py
+++ b/tests/incidents/test_system_calls.py
@@ -16,7 +16,7 @@
 from covetally.rig.soak import Soak, SoakShape
 from covetally.rig.system_faults import SHORT, Fault, FaultSchedule
 from covetally.rig.world import Shape, World
-from tests.loopback import WAIT_S
+from tests.loopback import TEST_TIMEOUT_S
 
 BEGIN_S, LENGTH_S, BACK_S = 1.5, 1.0, 0.3  # of the fault after the sidecar's start, and until service is back
 RATE = 60.0
@@ -43,7 +43,7 @@
     async def main():
         begin_ns = time.monotonic_ns() + int((BEGIN_S + 0.7) * SECOND)
         end_ns = begin_ns + int(LENGTH_S * SECOND)
-        async with asyncio.timeout(2 * WAIT_S), World(Shape(nodes=3, instances=1, slots=16)) as world:
+        async with asyncio.timeout(2 * TEST_TIMEOUT_S), World(Shape(nodes=3, instances=1, slots=16)) as world:
             # No connection is kept for long, so that new ones are dialled all the time.
             world.instances["a0"].config["settings"]["limits"]["connIdleNs"] = SECOND // 100
             fault = Fault(call, how, begin_ns, end_ns)
@@ -67,7 +67,7 @@
 @pytest.mark.parametrize("call", ["recv", "send", "client_recv", "client_send"])
 def test_short_reads_and_writes_change_nothing(call):
     async def main():
-        async with asyncio.timeout(2 * WAIT_S), World(Shape(nodes=2, instances=1)) as world:
+        async with asyncio.timeout(2 * TEST_TIMEOUT_S), World(Shape(nodes=2, instances=1)) as world:
             await play(world, (Fault(call, SHORT),), 2.0)
             verdict = world.account.judge()
             assert verdict.breaks == ()
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -16,12 +16,12 @@
 from covetally.net.upstream import Upstream
 from tests.support import settings
 
-WAIT_S = 20.0  # a test that waits so long has failed; none should come near it
+TEST_TIMEOUT_S = 20.0  # a test that waits so long has failed; none should come near it
 
-Script = Callable[["Server", bytes, asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
+Script = Callable[["ScriptedServer", bytes, asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 
 
-def answer(body: bytes = b"fine", status: bytes = b"200 OK", *headers: bytes) -> bytes:
+def response(body: bytes = b"fine", status: bytes = b"200 OK", *headers: bytes) -> bytes:
     """An answer with a length."""
     lines = [b"HTTP/1.1 " + status, b"Content-Length: %d" % len(body), *headers]
     return b"\r\n".join(lines) + b"\r\n\r\n" + body
@@ -56,18 +56,20 @@
     return head + await reader.readexactly(length)
 
 
-async def fine(server: Server, got: bytes, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+async def respond_ok(
+    server: ScriptedServer, got: bytes, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+) -> None:
     """The script of a server in good health: the body it gives back names the request."""
     trace = next(x.partition(b":")[2].strip() for x in got.split(b"\r\n") if x.startswith(b"x-trace-id"))
-    writer.write(answer(b"for " + trace))
+    writer.write(response(b"for " + trace))
 
 
-class Server:
-    """A server that does as its script says with each request; `got` has them all."""
+class ScriptedServer:
+    """A server that does as its script says with each request; `requests` has them all."""
 
     def __init__(self, script: Script) -> None:
         self.script = script
-        self.got: list[bytes] = []
+        self.requests: list[bytes] = []
         self.connections = 0
         self.address: tuple[str, int]
         self._server: asyncio.Server
@@ -83,7 +85,7 @@
         try:
             while True:
                 got = await read_message(reader)
-                self.got.append(got)
+                self.requests.append(got)
                 await self.script(self, got, reader, writer)
                 await writer.drain()
         except (asyncio.IncompleteReadError, ConnectionError):
@@ -98,7 +100,7 @@
             writer.close()
 
 
-class Place:
+class SidecarHarness:
     """The sidecar and what stands round it."""
 
     def __init__(self, sidecar: Sidecar, frontend: Frontend, upstream: Upstream) -> None:
@@ -106,7 +108,9 @@
         self.balancer = sidecar._balancer
         self.address: tuple[str, int]
 
-    def tell(self, servers: dict[str, Server], scope: str = "FULL", lifecycle: str = "up") -> None:
+    def update_servers(
+        self, servers: dict[str, ScriptedServer], scope: str = "FULL", lifecycle: str = "up"
+    ) -> None:
         entries = [(Entry(name, lifecycle=lifecycle), s.address) for name, s in servers.items()]
         self.upstream.update(entries, scope == "FULL")
         self.sidecar.directory(Directory(scope, tuple(entry for entry, _ in entries)))
@@ -132,23 +136,23 @@
 
 
 @asynccontextmanager
-async def place(
+async def sidecar_harness(
     *scripts: Script, clients: int = 20, sockets: int = 20, more: dict[str, Any] | None = None, **changes: Any
-) -> AsyncIterator[Place]:
+) -> AsyncIterator[SidecarHarness]:
     """A sidecar with a server for each script, named s0, s1, ..."""
     config = settings(**changes, **(more or {}))
     clock = Clock()
     upstream = Upstream(config, frozenset(), clock, sockets)
     sidecar = Sidecar(config, 1, clock, upstream, lambda peer, blob: None, lambda: None)
     frontend = Frontend(config, sidecar, clients, 4 * 1024 * 1024)
-    here = Place(sidecar, frontend, upstream)
-    here.servers = {f"s{i}": Server(script) for i, script in enumerate(scripts)}
+    here = SidecarHarness(sidecar, frontend, upstream)
+    here.servers = {f"s{i}": ScriptedServer(script) for i, script in enumerate(scripts)}
     for server in here.servers.values():
         await server.start()
-    here.tell(here.servers)
+    here.update_servers(here.servers)
     here.address = frontend.start_accepting(create_listener(("127.0.0.1", 0)))
     try:
-        async with asyncio.timeout(WAIT_S):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             yield here
     finally:
         if frontend._listener.fileno() >= 0:  # else a drain has closed it
@@ -160,13 +164,13 @@
             server.stop()
 
 
-async def until(true: Callable[[], bool]) -> None:
+async def wait_until(true: Callable[[], bool]) -> None:
     """Let the loop run until this holds; the place's time limit ends the wait."""
     while not true():
         await asyncio.sleep(0.005)
 
 
-def traces() -> Callable[[], str]:
+def trace_ids() -> Callable[[], str]:
     """Ids that are ever new."""
     numbers = itertools.count()
     return lambda: f"id{next(numbers)}"
--- a/tests/overload/test_processes.py
+++ b/tests/overload/test_processes.py
@@ -12,7 +12,7 @@
 from covetally.rig.schedule import Link, Step
 from covetally.rig.storm import Storm, play
 from covetally.rig.world import Shape, World
-from tests.loopback import WAIT_S, until
+from tests.loopback import TEST_TIMEOUT_S, wait_until
 
 SIZE = 6
 HALF, REST = (0, 1, 2), (3, 4, 5)
@@ -42,7 +42,10 @@
 @pytest.mark.parametrize("fault", FAULTS)
 def test_a_storm_over_real_sidecars_keeps_the_rules_and_wastes_little_under(tmp_path, fault):
     async def main():
-        async with asyncio.timeout(3 * WAIT_S), World(Shape(nodes=2, instances=SIZE, peers=True)) as world:
+        async with (
+            asyncio.timeout(3 * TEST_TIMEOUT_S),
+            World(Shape(nodes=2, instances=SIZE, peers=True)) as world,
+        ):
             operated(world, tmp_path, '[overload]\nmode = "on"\n')
             await world.start_instances()
             faults = Faults(world)
@@ -62,18 +65,18 @@
 
 def test_an_operator_pins_the_line_and_the_pin_lapses_visibly(tmp_path):
     async def main():
-        async with asyncio.timeout(2 * WAIT_S), World(Shape(nodes=2, instances=3, peers=True)) as world:
+        async with asyncio.timeout(2 * TEST_TIMEOUT_S), World(Shape(nodes=2, instances=3, peers=True)) as world:
             path = operated(world, tmp_path, '[overload]\nmode = "on"\n')
             await world.start_instances()
             first = world.instances["a0"]
             path.write_text('[overload]\nmode = "on"\npin = "pin:no-retries:1.5"\n')
             first.process.send_signal(signal.SIGHUP)
-            await until(lambda: "an operator's hand on it: pin:no-retries:1.5" in first.log)
-            await until(lambda: "overload line: no retries" in first.log)
-            await until(lambda: "overload line: open" in first.log.partition("overload line: no retries")[2])
+            await wait_until(lambda: "an operator's hand on it: pin:no-retries:1.5" in first.log)
+            await wait_until(lambda: "overload line: no retries" in first.log)
+            await wait_until(lambda: "overload line: open" in first.log.partition("overload line: no retries")[2])
             path.write_text('[overload]\nmode = "on"\npin = "pin:25:5"\n')
             first.process.send_signal(signal.SIGHUP)
-            await until(lambda: "is no rung" in first.log)
+            await wait_until(lambda: "is no rung" in first.log)
             assert "the old configuration stays" in first.log and first.running
 
     asyncio.run(main())
@@ -88,7 +91,7 @@
     """The platform of this world allows no peers."""
 
     async def main():
-        async with asyncio.timeout(WAIT_S), World(Shape(nodes=1, instances=1)) as world:
+        async with asyncio.timeout(TEST_TIMEOUT_S), World(Shape(nodes=1, instances=1)) as world:
             operated(world, tmp_path, text)
             with pytest.raises(RuntimeError, match="ended") as error:
                 await world.start_instance("a0")
--- a/tests/release/test_processes.py
+++ b/tests/release/test_processes.py
@@ -11,7 +11,7 @@
 from covetally.rig.managed import Managed
 from covetally.rig.site import LOAD_CLASSES, TENANTS
 from covetally.rig.world import Shape
-from tests.loopback import WAIT_S
+from tests.loopback import TEST_TIMEOUT_S
 
 GATED = {"canary": 1, "shares": [1.0], "soak_s": 4.0, "instance_s": 5.0, "min_answers": 20, "max_worse": 0.05}
 
@@ -35,7 +35,7 @@
 )  # fmt: skip
 def test_a_gate_tells_a_storm_from_a_bad_change(share, values, said):
     async def main():
-        async with asyncio.timeout(2 * WAIT_S), Managed(Shape(nodes=4, instances=4)) as world:
+        async with asyncio.timeout(2 * TEST_TIMEOUT_S), Managed(Shape(nodes=4, instances=4)) as world:
             await world.start_agent()
             await world.start_instances()
             await world.connected()
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -10,7 +10,7 @@
 from covetally.net import client_connection
 from covetally.net.eviction import NEWCOMER_S
 from covetally.net.recent_ids import RecentIds
-from tests.loopback import fine, place, read_message, request, traces, until
+from tests.loopback import respond_ok, sidecar_harness, read_message, request, trace_ids, wait_until
 
 HIDDEN = request("hidden")
 SMUGGLED = b"0\r\n\r\n" + HIDDEN
@@ -59,10 +59,10 @@
 )
 def test_what_servers_cannot_use_is_turned_away(name, data):
     async def main():
-        async with place(fine) as here:
+        async with sidecar_harness(respond_ok) as here:
             status = await here.status(data)
             assert 400 <= status < 600, name
-            assert not here.servers["s0"].got, "nothing of it may be passed on"
+            assert not here.servers["s0"].requests, "nothing of it may be passed on"
             assert here.sidecar._taken == 0
             assert await here.status(request("after")) == 200
 
@@ -71,7 +71,7 @@
 
 def test_a_chunked_body_past_the_limit_is_turned_away():
     async def main():
-        async with place(fine) as here:
+        async with sidecar_harness(respond_ok) as here:
             head = request(cls="pay", method="POST", more="Transfer-Encoding: chunked\r\n").replace(
                 b"Content-Length: 0\r\n", b""
             )
@@ -84,14 +84,14 @@
 
 def test_bodies_beyond_the_pool_are_refused_and_do_not_wait():
     async def main():
-        async with place(fine) as here:
+        async with sidecar_harness(respond_ok) as here:
             here.frontend.budget.free = 50_000
             _, holder = await here.connect()
             holder.write(request("h", cls="pay", body=b"x" * 40_000, length="41000"))
-            await until(lambda: here.frontend.budget.free < 20_000)
+            await wait_until(lambda: here.frontend.budget.free < 20_000)
             assert await here.status(request("w", cls="pay", body=b"x" * 40_000)) == 503
             holder.close()
-            await until(lambda: here.frontend.budget.free == 50_000)
+            await wait_until(lambda: here.frontend.budget.free == 50_000)
             assert await here.status(request("v", cls="pay", body=b"x" * 40_000)) == 200
 
     asyncio.run(main())
@@ -104,10 +104,10 @@
     monkeypatch.setattr(client_connection, "REQUEST_S", 0.1)
 
     async def main():
-        async with place(fine) as here:
+        async with sidecar_harness(respond_ok) as here:
             status = await here.status(part)
             assert status == (408 if part else 0)
-            await until(lambda: not here.frontend._clients)
+            await wait_until(lambda: not here.frontend._clients)
 
     asyncio.run(main())
 
@@ -116,7 +116,7 @@
     monkeypatch.setattr(client_connection, "REQUEST_S", 0.1)
 
     async def main():
-        async with place(fine) as here:
+        async with sidecar_harness(respond_ok) as here:
             reader, writer = await here.connect()
             writer.write(request("one"))
             await read_message(reader)
@@ -130,7 +130,7 @@
     monkeypatch.setattr(client_connection, "IDLE_S", 0.1)
 
     async def main():
-        async with place(fine) as here:
+        async with sidecar_harness(respond_ok) as here:
             reader, writer = await here.connect()
             writer.write(request("one"))
             await read_message(reader)
@@ -145,16 +145,16 @@
 
         async def wait(server, got, reader, writer):
             await release.wait()
-            await fine(server, got, reader, writer)
+            await respond_ok(server, got, reader, writer)
 
-        async with place(wait) as here:
+        async with sidecar_harness(wait) as here:
             reader, writer = await here.connect()
             writer.write(request("same"))
-            await until(lambda: here.servers["s0"].got)
+            await wait_until(lambda: here.servers["s0"].requests)
             assert await here.status(request("same")) == 409
             release.set()
             assert (await read_message(reader)).endswith(b"for same")
-            assert len(here.servers["s0"].got) == 1
+            assert len(here.servers["s0"].requests) == 1
 
     asyncio.run(main())
 
@@ -169,7 +169,7 @@
 
 def test_a_crowd_that_says_nothing_does_not_keep_others_out():
     async def main():
-        async with place(fine, clients=5) as here:
+        async with sidecar_harness(respond_ok, clients=5) as here:
             crowd = [await here.connect() for _ in range(30)]
             assert await here.status(request()) == 200
             assert len(here.frontend._clients) <= 5
@@ -183,7 +183,7 @@
 
 def test_room_is_made_by_who_says_nothing_before_who_has_been_served():
     async def main():
-        async with place(fine, clients=4) as here:
+        async with sidecar_harness(respond_ok, clients=4) as here:
             reader, writer = await here.connect()
             writer.write(request("one"))
             await read_message(reader)
@@ -198,9 +198,9 @@
 
 def test_a_connection_whose_request_waits_unread_is_not_put_out():
     async def main():
-        async with place(fine) as here:
+        async with sidecar_harness(respond_ok) as here:
             with socket.create_connection(here.address) as sock:
-                await until(lambda: any(c.silent() for c in here.frontend._order.fresh))
+                await wait_until(lambda: any(c.silent() for c in here.frontend._order.fresh))
                 (client,) = here.frontend._order.fresh
                 await asyncio.sleep(2 * NEWCOMER_S)  # by its age it may go
                 sock.send(request())  # in the kernel: the loop has not run since
@@ -214,8 +214,8 @@
     monkeypatch.setattr(client_connection, "LINGER_S", 600.0)
 
     async def main():
-        new = traces()
-        async with place(fine, clients=3) as here:
+        new = trace_ids()
+        async with sidecar_harness(respond_ok, clients=3) as here:
             kept = []
             for ending in ("close", "bad", "close", "bad") * 3:
                 reader, writer = await here.connect()
@@ -234,8 +234,8 @@
     """They had all connections there are, each for seconds of rest, and nobody else got one."""
 
     async def main():
-        async with place(fine, clients=40) as here:
-            trace = traces()
+        async with sidecar_harness(respond_ok, clients=40) as here:
+            trace = trace_ids()
             kept = [await here.connect() for _ in range(15)]
             for reader, writer in kept:
                 writer.write(request(trace()))
@@ -245,7 +245,7 @@
             for reader, writer in kept[5:]:
                 writer.write(request(trace()))
                 assert (await read_message(reader)).startswith(b"HTTP/1.1 200")
-            await until(lambda: len(here.frontend._clients) == 10)
+            await wait_until(lambda: len(here.frontend._clients) == 10)
             for _, writer in kept:
                 writer.close()
 
--- a/tests/test_loop.py
+++ b/tests/test_loop.py
@@ -11,7 +11,7 @@
 import pytest
 
 from covetally.net.loop import Loop
-from tests.loopback import fine, place, request
+from tests.loopback import respond_ok, sidecar_harness, request
 
 
 def play(main: Callable[[], Coroutine]) -> None:
@@ -144,7 +144,7 @@
 @pytest.mark.parametrize("many", [1, 40])
 def test_a_sidecar_serves_on_it(many):
     async def main():
-        async with place(fine, fine, clients=64, sockets=64) as here:
+        async with sidecar_harness(respond_ok, respond_ok, clients=64, sockets=64) as here:
             got = await asyncio.gather(*(here.status(request(f"t{n}")) for n in range(many)))
             assert got == [200] * many
 
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -7,7 +7,7 @@
 import time
 
 from covetally.interface import Accept, How, Refuse, Response
-from tests.loopback import answer, fine, place, read_message, request, traces, until
+from tests.loopback import response, respond_ok, sidecar_harness, read_message, request, trace_ids, wait_until
 from tests.support import MS, Paper, settings
 
 
@@ -31,7 +31,7 @@
 
 def test_time_in_the_kernel_and_the_backlog_counts_as_the_request_s():
     async def main():
-        async with place(fine) as here:
+        async with sidecar_harness(respond_ok) as here:
             told = events(here, Accept)
             with socket.create_connection(here.address) as client:
                 client.sendall(request(expires="0.8"))
@@ -49,11 +49,11 @@
     """The answer is there soon, but this process stands still before it gets to read it."""
 
     async def stand_still(server, got, reader, writer):
-        writer.write(answer(b"quick"))
+        writer.write(response(b"quick"))
         asyncio.get_running_loop().call_soon(time.sleep, 0.2)
 
     async def main():
-        async with place(stand_still) as here:
+        async with sidecar_harness(stand_still) as here:
             told = outcomes(here)
             assert await here.status(request(cls="pay", expires="5")) == 200
             assert told[0].how == How.OK
@@ -64,15 +64,15 @@
 
 def test_an_answer_that_lies_unread_at_the_time_out_is_no_fault_of_the_server():
     async def stand_still(server, got, reader, writer):
-        writer.write(answer(b"in time"))
+        writer.write(response(b"in time"))
         time.sleep(0.5)  # past the aim, not the deadline
 
     async def main():
-        async with place(stand_still) as here:
+        async with sidecar_harness(stand_still) as here:
             told = outcomes(here)
             here.balancer.book.tokens = 0.0  # no further attempt
             await here.status(request(cls="pay", expires="0.95"))
-            await until(lambda: told)
+            await wait_until(lambda: told)
             assert told[0].how != How.TIMEOUT
 
     asyncio.run(main())
@@ -82,13 +82,13 @@
     """The kernel has the connection up, but time ran out before this process came to look."""
 
     async def main():
-        async with place(fine) as here:
+        async with sidecar_harness(respond_ok) as here:
             told = outcomes(here)
             here.balancer.book.tokens = 0.0
             loop = asyncio.get_running_loop()
             monkeypatch.setattr(loop, "add_writer", lambda *_: None)  # as if the loop had no turn to spare for it
             await here.status(request(expires="0.3"))
-            await until(lambda: told)
+            await wait_until(lambda: told)
             assert told[0].how == How.MOOT
             assert here.balancer.book.servers["s0"].k
 
@@ -100,11 +100,11 @@
         await reader.read()
 
     async def main():
-        async with place(silent) as here:
+        async with sidecar_harness(silent) as here:
             told = outcomes(here)
             here.balancer.book.tokens = 0.0
             await here.status(request(expires="0.2"))
-            await until(lambda: told)
+            await wait_until(lambda: told)
             assert told[0].how == How.TIMEOUT
 
     asyncio.run(main())
@@ -115,8 +115,8 @@
 
     async def main():
         limits = {"retryAfter": True, "maxRetryAfterNs": 700 * MS}
-        async with place(fine, limits=limits, more={"clients": {"marksRetry": True}}) as here:
-            trace = traces()
+        async with sidecar_harness(respond_ok, limits=limits, more={"clients": {"marksRetry": True}}) as here:
+            trace = trace_ids()
             reader, writer = await here.connect()
 
             async def ask(**more):
@@ -178,7 +178,7 @@
     """Between turns of READ_SLICE_S it looks at all else, servers' answers above all, whatever has come."""
 
     async def main():
-        async with place(fine, clients=200, sockets=200) as here:
+        async with sidecar_harness(respond_ok, clients=200, sockets=200) as here:
             order, take, loop = [], here.sidecar.take, asyncio.get_running_loop()
 
             def taking(*words):
@@ -189,9 +189,9 @@
                 return take(*words)
 
             here.sidecar.take = taking
-            trace = traces()
+            trace = trace_ids()
             streams = [await here.connect() for _ in range(60)]
-            await until(lambda: len(here.frontend._clients) == 60)
+            await wait_until(lambda: len(here.frontend._clients) == 60)
             for _, writer in streams:
                 writer.write(request(trace(), expires="5"))
             time.sleep(0.03)  # all have lain in the kernel for longer than is prompt
@@ -217,7 +217,7 @@
     """They wait in the backlog, or on a kept connection, until this process has time: too late for them."""
 
     async def main():
-        async with place(fine) as here:
+        async with sidecar_harness(respond_ok) as here:
             kept = await here.connect()
             kept[1].write(request("kept"))
             await read_message(kept[0])
@@ -228,9 +228,9 @@
                 with socket.create_connection(here.address) as client:
                     client.sendall(request(f"gone{number}"))
             assert await here.status(request("after")) == 200
-            await until(lambda: not here.frontend._clients)
+            await wait_until(lambda: not here.frontend._clients)
             assert here.sidecar._taken == taken + 1
-            assert len(here.servers["s0"].got) == 2
+            assert len(here.servers["s0"].requests) == 2
 
     asyncio.run(main())
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from tests.loopback import WAIT_S, request, until
+from tests.loopback import TEST_TIMEOUT_S, request, wait_until
 from tests.refusing import CALLS
 from tests.test_process import ROOT, running
 
@@ -37,9 +37,12 @@
 def test_the_filter_ends_whoever_does_what_is_refused(refused):
     """Without this the test below could pass with a filter that filters nothing."""
     run = [*REFUSING, sys.executable, "-c"]
-    assert subprocess.run([*run, f"import os; {refused}"], cwd=ROOT, timeout=WAIT_S).returncode == -31
+    assert subprocess.run([*run, f"import os; {refused}"], cwd=ROOT, timeout=TEST_TIMEOUT_S).returncode == -31
     thread = "import threading; t = threading.Thread(target=print); t.start(); t.join()"
-    assert subprocess.run([*run, thread], cwd=ROOT, timeout=WAIT_S, stdout=subprocess.DEVNULL).returncode == 0
+    assert (
+        subprocess.run([*run, thread], cwd=ROOT, timeout=TEST_TIMEOUT_S, stdout=subprocess.DEVNULL).returncode
+        == 0
+    )
 
 
 @filtered
@@ -53,7 +56,7 @@
                 assert got.startswith(b"HTTP/1.1 200"), got
             process.write()
             process.signal(1)
-            await until(lambda: b"taken up its configuration" in process.log.read_bytes())
+            await wait_until(lambda: b"taken up its configuration" in process.log.read_bytes())
             assert (await process.ask(request(trace="after"))).startswith(b"HTTP/1.1 200")
             assert await process.end() == 0
 
@@ -73,7 +76,9 @@
         "import sys, covetally.__main__\n"
         "print(*[m.__file__ for name, m in sys.modules.items() if name.startswith('covetally') and m.__file__])"
     )
-    printed = subprocess.check_output([sys.executable, "-c", imports], cwd=ROOT, text=True, timeout=WAIT_S)
+    printed = subprocess.check_output(
+        [sys.executable, "-c", imports], cwd=ROOT, text=True, timeout=TEST_TIMEOUT_S
+    )
     files = [Path(name).relative_to(ROOT).as_posix() for name in printed.split()]
     assert len(files) > 10
     named = [*DEPLOY["node"], *DEPLOY["policy"]]
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -16,7 +16,16 @@
 import pytest
 
 from covetally.__main__ import operator_file
-from tests.loopback import WAIT_S, Server, answer, fine, read_message, request, traces, until
+from tests.loopback import (
+    TEST_TIMEOUT_S,
+    ScriptedServer,
+    response,
+    respond_ok,
+    read_message,
+    request,
+    trace_ids,
+    wait_until,
+)
 from tests.support import MS
 
 ROOT = Path(__file__).parent.parent
@@ -29,24 +38,24 @@
 }
 
 
-def name_of(server: Server) -> str:
+def name_of(server: ScriptedServer) -> str:
     host, port = server.address
     return f"{host}:{port}"
 
 
-def members(server: Server) -> bytes:
+def members(server: ScriptedServer) -> bytes:
     item = {"instanceId": "s0", "hostPort": name_of(server), "zone": "a", "lifecycle": "active"}
     return json.dumps({"generation": 5, "reset": True, "instances": [item]}).encode()
 
 
-def catalog(of: Server):
+def catalog(of: ScriptedServer):
     """A discovery that has one server; a watch waits for good."""
 
     async def script(server, got, reader, writer):
         if b"index=" in got.split(b"\r\n")[0]:
             await reader.read()
         else:
-            writer.write(answer(members(of)))
+            writer.write(response(members(of)))
 
     return script
 
@@ -74,7 +83,7 @@
                 stderr=log,
                 env=os.environ | {"EDGE_CONFIG": str(self.path)},
             )
-        await until(lambda: b"ready at" in self.log.read_bytes() or self._process.returncode is not None)
+        await wait_until(lambda: b"ready at" in self.log.read_bytes() or self._process.returncode is not None)
 
     @property
     def running(self) -> bool:
@@ -101,10 +110,10 @@
 
 @contextlib.asynccontextmanager
 async def running(folder: Path, operator: str | None = None):
-    old, new = Server(fine), Server(fine)
+    old, new = ScriptedServer(respond_ok), ScriptedServer(respond_ok)
     for server in (old, new):
         await server.start()
-    lists = [Server(catalog(old)), Server(catalog(new))]
+    lists = [ScriptedServer(catalog(old)), ScriptedServer(catalog(new))]
     for server in lists:
         await server.start()
     config = {
@@ -121,7 +130,7 @@
     process.write()
     await process.start()
     try:
-        async with asyncio.timeout(WAIT_S):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             yield process, old, new, lists
     finally:
         await process.end()
@@ -132,14 +141,14 @@
 def test_sighup_moves_to_the_discovery_that_the_file_names(tmp_path):
     async def main():
         async with running(tmp_path) as (process, old, new, lists):
-            await until(lambda: len(lists[0].got) == 2)
+            await wait_until(lambda: len(lists[0].requests) == 2)
             assert (await process.ask(request("a"))).endswith(b"for a")
-            assert len(old.got) == 1
+            assert len(old.requests) == 1
             process.write(discovery=name_of(lists[1]))
             process.signal(signal.SIGHUP)
-            await until(lambda: len(lists[1].got) == 2)
+            await wait_until(lambda: len(lists[1].requests) == 2)
             assert (await process.ask(request("b"))).endswith(b"for b")
-            assert len(new.got) == 1, "the new list holds"
+            assert len(new.requests) == 1, "the new list holds"
             assert process.running
             assert await process.end() == 0
 
@@ -150,13 +159,13 @@
 def test_a_bad_configuration_on_sighup_changes_nothing(tmp_path, text):
     async def main():
         async with running(tmp_path) as (process, old, _, lists):
-            await until(lambda: len(lists[0].got) == 2)
+            await wait_until(lambda: len(lists[0].requests) == 2)
             process.path.write_text(text)
             process.signal(signal.SIGHUP)
-            await until(lambda: b"the old configuration stays" in process.log.read_bytes())
+            await wait_until(lambda: b"the old configuration stays" in process.log.read_bytes())
             assert b"Traceback" not in process.log.read_bytes()
             assert (await process.ask(request("a"))).endswith(b"for a")
-            assert len(old.got) == 1
+            assert len(old.requests) == 1
 
     asyncio.run(main())
 
@@ -172,7 +181,7 @@
         env=os.environ | {"EDGE_CONFIG": str(path)},
         capture_output=True,
         text=True,
-        timeout=WAIT_S,
+        timeout=TEST_TIMEOUT_S,
         check=False,
     )
     assert done.returncode == 2
@@ -221,7 +230,7 @@
         env = {k: v for k, v in os.environ.items() if k != "EDGE_CONFIG"} | named
         done = subprocess.run(
             [sys.executable, "-m", "covetally"], cwd=ROOT, env=env, capture_output=True, text=True,
-            timeout=WAIT_S, check=False,
+            timeout=TEST_TIMEOUT_S, check=False,
         )  # fmt: skip
         assert done.returncode == 2
         (line,) = done.stderr.splitlines()
@@ -233,21 +242,21 @@
 
     async def slow(server, got, reader, writer):
         await asyncio.sleep(0.25)
-        await fine(server, got, reader, writer)
+        await respond_ok(server, got, reader, writer)
 
     async def main():
         async with running(tmp_path, "[classes.look]\ndeadline_ms = 150\n") as (process, old, _, lists):
-            await until(lambda: len(lists[0].got) == 2)
+            await wait_until(lambda: len(lists[0].requests) == 2)
             old.script = slow
             assert not (await process.ask(request("a", expires="0.9"))).startswith(b"HTTP/1.1 200")
             (tmp_path / "operator.toml").write_text("[classes.look]\ndeadline_ms = 'x'\n[nothing]\nx = 1\n")
             process.signal(signal.SIGHUP)
-            await until(lambda: b"the old configuration stays" in process.log.read_bytes())
+            await wait_until(lambda: b"the old configuration stays" in process.log.read_bytes())
             assert b"nothing.x" in process.log.read_bytes() and b"deadline_ms" in process.log.read_bytes()
             (tmp_path / "operator.toml").write_text("[process]\nbacklog = 64\n")
             process.signal(signal.SIGHUP)
-            await until(lambda: b"backlog has changed, which takes a restart" in process.log.read_bytes())
-            name = traces()
+            await wait_until(lambda: b"backlog has changed, which takes a restart" in process.log.read_bytes())
+            name = trace_ids()
             while not (await process.ask(request(name(), expires="0.9"))).startswith(b"HTTP/1.1 200"):
                 await asyncio.sleep(0.05)  # a node that timed out is on trial first
             assert b"Traceback" not in process.log.read_bytes()
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -13,7 +13,7 @@
 from covetally.net import upstream
 from covetally.net.http_message import End, MessageParser, ResponseHead
 from covetally.policy.pick import preferred
-from tests.loopback import answer, fine, place, read_message, request, traces, until
+from tests.loopback import response, respond_ok, sidecar_harness, read_message, request, trace_ids, wait_until
 from tests.support import MS, Paper, settings
 
 SPOILT = {
@@ -46,12 +46,12 @@
         await reader.read()
 
     async def main():
-        async with place(spoil) as here:
+        async with sidecar_harness(spoil) as here:
             here.balancer.book.tokens = 0.0  # no further attempt
             assert await here.status(request(cls="pay")) == 502
             server = here.balancer.book.servers["s0"]
             assert (server.k, server.inflight) == (1, 0)
-            here.servers["s0"].script = fine
+            here.servers["s0"].script = respond_ok
             assert (await here.ask(request("next"))).endswith(b"for next")
             assert here.upstream._open == 1, "the spoilt connection is gone"
 
@@ -155,15 +155,15 @@
         assert server.budget == budget
 
 
-@pytest.mark.parametrize("extra", [b"noise", answer(b"stale")])
+@pytest.mark.parametrize("extra", [b"noise", response(b"stale")])
 def test_what_comes_behind_an_answer_is_nobody_s(extra):
     async def more(server, got, reader, writer):
-        await fine(server, got, reader, writer)
+        await respond_ok(server, got, reader, writer)
         writer.write(extra)
 
     async def main():
-        new = traces()
-        async with place(more) as here:
+        new = trace_ids()
+        async with sidecar_harness(more) as here:
             for _ in range(10):
                 trace = new()
                 assert (await here.ask(request(trace))).endswith(b"for " + trace.encode())
@@ -176,13 +176,13 @@
     monkeypatch.setattr(upstream, "SETTLE_S", 0.3)
 
     async def late(server, got, reader, writer):
-        await fine(server, got, reader, writer)
+        await respond_ok(server, got, reader, writer)
         await writer.drain()
         await asyncio.sleep(0.02)
-        writer.write(answer(b"stale"))
+        writer.write(response(b"stale"))
 
     async def main():
-        async with place(late) as here:
+        async with sidecar_harness(late) as here:
             reader, writer = await here.connect()
             for trace in ("a", "b", "c"):
                 writer.write(request(trace))
@@ -193,7 +193,7 @@
 
 async def break_next(server, got, reader, writer):
     """Answer, and drop the connection at the first byte of the next request."""
-    await fine(server, got, reader, writer)
+    await respond_ok(server, got, reader, writer)
     await writer.drain()
     await reader.read(1)
     writer.transport.abort()
@@ -203,7 +203,7 @@
     monkeypatch.setattr(upstream, "WARY_HOLD_BACK_S", 5.0)  # it ends with the sign
 
     async def main():
-        async with place(break_next) as here:
+        async with sidecar_harness(break_next) as here:
             assert await here.status(request("a")) == 200
             here.upstream._wary_until = asyncio.get_running_loop().time() + 60.0
             for trace in ("b", "c"):
@@ -217,7 +217,7 @@
     """A last byte held back waited for the peer's delayed acknowledgement."""
 
     async def main():
-        async with place(fine) as here:
+        async with sidecar_harness(respond_ok) as here:
             reader, writer = await here.connect()
             writer.write(request("a"))
             await read_message(reader)
@@ -232,7 +232,7 @@
 
 def test_a_kept_connection_that_breaks_makes_wary(monkeypatch):
     async def main():
-        async with place(break_next) as here:
+        async with sidecar_harness(break_next) as here:
             assert await here.status(request("a")) == 200
             assert here.upstream.hold_back_s(0.0) == 0.0
             assert await here.status(request("b", cls="pay")) in (200, 502)
@@ -244,10 +244,10 @@
 def test_1xx_answers_ahead_are_passed_over():
     async def early(server, got, reader, writer):
         writer.write(b"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" * 3)
-        await fine(server, got, reader, writer)
+        await respond_ok(server, got, reader, writer)
 
     async def main():
-        async with place(early) as here:
+        async with sidecar_harness(early) as here:
             assert (await here.ask(request("t"))).endswith(b"for t")
 
     asyncio.run(main())
@@ -255,12 +255,12 @@
 
 def test_a_request_that_servers_turn_away_as_bad_is_no_verdict_on_them():
     async def turn_away(server, got, reader, writer):
-        writer.write(answer(b"", b"400 Bad Request"))
+        writer.write(response(b"", b"400 Bad Request"))
 
     async def main():
-        async with place(turn_away, turn_away) as here:
+        async with sidecar_harness(turn_away, turn_away) as here:
             assert await here.status(request(cls="look")) == 502
-            assert sum(len(s.got) for s in here.servers.values()) == 1
+            assert sum(len(s.requests) for s in here.servers.values()) == 1
             assert all(s.k == 1 and not s.inflight for s in here.balancer.book.servers.values())
 
     asyncio.run(main())
@@ -272,12 +272,12 @@
 
         async def wait(server, got, reader, writer):
             await release.wait()
-            await fine(server, got, reader, writer)
+            await respond_ok(server, got, reader, writer)
 
-        async with place(wait, wait, sockets=1) as here:
+        async with sidecar_harness(wait, wait, sockets=1) as here:
             reader, writer = await here.connect()
             writer.write(request("one"))
-            await until(lambda: any(s.got for s in here.servers.values()))
+            await wait_until(lambda: any(s.requests for s in here.servers.values()))
             assert await here.status(request("two")) == 503
             assert all(s.k == 1 for s in here.balancer.book.servers.values())
             release.set()
@@ -290,7 +290,7 @@
     """Places were lost one by one while there were no descriptors, and in the end no server could be reached."""
 
     async def main():
-        async with place(fine, sockets=2) as here:
+        async with sidecar_harness(respond_ok, sockets=2) as here:
             reader, writer = await here.connect()
 
             def none(*_):
@@ -326,11 +326,11 @@
 
 def test_servers_that_are_gone_leave_nothing_behind():
     async def main():
-        new = traces()
-        async with place(fine) as here:
+        new = trace_ids()
+        async with sidecar_harness(respond_ok) as here:
             server = here.servers["s0"]
             for turn in range(30):
-                here.tell({f"n{turn}": server})  # a new id at the address of one that has gone
+                here.update_servers({f"n{turn}": server})  # a new id at the address of one that has gone
                 assert await here.status(request(new())) == 200
             assert set(here.balancer.book.servers) == {"n29"}
             assert set(here.upstream._servers) == {"n29"}
@@ -357,25 +357,25 @@
     monkeypatch.setattr(upstream, "WARY_HOLD_BACK_S", 5.0)  # it ends with the sign
 
     async def turn_away_early(server, got, reader, writer):
-        await fine(server, got, reader, writer)
+        await respond_ok(server, got, reader, writer)
         await writer.drain()
         await reader.read(1)
-        writer.write(answer(b"", b"503 Full", b"X-Never-Ran: 1"))
+        writer.write(response(b"", b"503 Full", b"X-Never-Ran: 1"))
 
     async def main():
-        async with place(turn_away_early) as here:
+        async with sidecar_harness(turn_away_early) as here:
             assert await here.status(request("a")) == 200
             here.upstream._wary_until = asyncio.get_running_loop().time() + 60.0
             assert (await here.ask(request("b", cls="pay"))).endswith(b"for b")
             server = here.servers["s0"]
-            assert (server.connections, len(server.got)) == (2, 2)
+            assert (server.connections, len(server.requests)) == (2, 2)
             assert here.upstream._open == 1, "the first one is closed"
 
     asyncio.run(main())
 
 
 def test_answers_read_in_one_piece_or_in_many_are_the_same():
-    whole = b"HTTP/1.1 103 Early\r\n\r\n" + answer(b"abcdef", b"200 OK", b"X-A:", b"X-B:  b ")
+    whole = b"HTTP/1.1 103 Early\r\n\r\n" + response(b"abcdef", b"200 OK", b"X-A:", b"X-B:  b ")
     for size in (1, 7, len(whole)):
         reader = MessageParser(httptools.HttpResponseParser)
         for at in range(0, len(whole), size):
@@ -393,8 +393,10 @@
     turns and refused what most of them would have served. Past half of them the cause is shared."""
 
     async def main():
-        new = traces()
-        async with place(fine, fine, fine, fine, limits={"maxAttempts": 4, "retryAfter": True}) as here:
+        new = trace_ids()
+        async with sidecar_harness(
+            respond_ok, respond_ok, respond_ok, respond_ok, limits={"maxAttempts": 4, "retryAfter": True}
+        ) as here:
             book = here.balancer.book
             dead, well = (here.servers["s0"], here.servers["s1"]), (here.servers["s2"], here.servers["s3"])
             for server in dead:
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -20,7 +20,7 @@
 from covetally.rig.load import Load, Plan
 from covetally.rig.site import LOAD_CLASSES, TENANTS
 from covetally.rig.world import Shape, World
-from tests.loopback import WAIT_S, until
+from tests.loopback import TEST_TIMEOUT_S, wait_until
 
 SLACK_S = 1.0  # for a loaded machine, on top of each row's time
 RATE, MUST_ASK_S = 60, 10.0
@@ -76,7 +76,7 @@
 @pytest.mark.parametrize("row", ROWS, ids=lambda row: f"{'pushed' if row.pushed else 'asked'}-{row.name}")
 def test_a_node_that_drains_gets_nothing_new_once_it_counts_as_told(row):
     async def main():
-        async with asyncio.timeout(2 * WAIT_S), World(Shape(nodes=4, instances=1)) as world:
+        async with asyncio.timeout(2 * TEST_TIMEOUT_S), World(Shape(nodes=4, instances=1)) as world:
             instance = world.instances["a0"]
             if not row.pushed:
                 instance.config["settings"]["discovery"] = "subscribe"
@@ -86,7 +86,7 @@
             plan = Plan(LOAD_CLASSES, TENANTS, ("a0",), rate=RATE, seconds=rest_s + 2.5, seed=5)
             load = Load(world.account, {"a0": instance.address}, plan, world.alive)
             played = asyncio.create_task(load.play(plan.draw()))
-            await until(lambda: all(node.seen["arrived"] for node in world.nodes.values()))
+            await wait_until(lambda: all(node.seen["arrived"] for node in world.nodes.values()))
             counts_ns = await hinder(world, row)
             await played
             late_ns = counts_ns + int((row.told_s + asking.GRACE_S + SLACK_S) * SECOND)
@@ -190,12 +190,12 @@
     """Clients without a pause and with long ones, so that requests cross the closes; one that is slow to send."""
 
     async def main():
-        async with asyncio.timeout(WAIT_S), World(Shape(nodes=3, instances=1)) as world:
+        async with asyncio.timeout(TEST_TIMEOUT_S), World(Shape(nodes=3, instances=1)) as world:
             await world.start_instances()
             address = world.instances["a0"].address
             clients = [Client(i, address, pause_s=(0.0, 0.003, 0.05, 0.4)[i % 4]) for i in range(24)]
             asking_ = [asyncio.create_task(client.ask_on()) for client in clients]
-            await until(lambda: all(len(client.statuses) > 1 for client in clients))
+            await wait_until(lambda: all(len(client.statuses) > 1 for client in clients))
             reader, writer = await asyncio.open_connection(*address)
             begun = get("slow")
             writer.write(begun[:-9])
--- a/tests/test_together.py
+++ b/tests/test_together.py
@@ -13,7 +13,7 @@
 from covetally.rig.storm import Storm, play
 from covetally.rig.together import CAP, CONTROL, TENANT
 from covetally.rig.world import Shape
-from tests.loopback import WAIT_S, until
+from tests.loopback import TEST_TIMEOUT_S, wait_until
 
 STORM = Storm(calm=50.0, high=300.0, before_s=5.0, high_s=10.0, after_s=4.0)  # nodes can do 175 a second
 
@@ -21,7 +21,7 @@
 def test_an_order_a_storm_a_cap_at_its_limit_and_a_lost_zone():
     async def main():
         shape = Shape(nodes=4, instances=6, peers=True, work_scale=2.0)
-        async with asyncio.timeout(5 * WAIT_S), Managed(shape, control=CONTROL) as world:
+        async with asyncio.timeout(5 * TEST_TIMEOUT_S), Managed(shape, control=CONTROL) as world:
             # The load's own workshops would meet the cap: its requests come as another one's.
             await world.start_supervised()
             await asyncio.sleep(6.0)  # homes leave alone what a life before may have lent; a new agent listens
@@ -30,7 +30,7 @@
             crowd = Crowd(world, TENANT, CAP, pause_s=0.1)
             runs = asyncio.create_task(crowd.run())
             crowd.wanted["a0"] = crowd.wanted["a2"] = CAP
-            await until(lambda: len(crowd.served) >= 0.8 * CAP)
+            await wait_until(lambda: len(crowd.served) >= 0.8 * CAP)
             storm = asyncio.create_task(play(world, STORM, seed=5))
             await asyncio.sleep(STORM.before_s - 1.0)
             code, _, err = await world.command(
--- a/tests/test_wheel.py
+++ b/tests/test_wheel.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from covetally.net.wheel import WIDTH_S, Wheel
-from tests.loopback import fine, place, read_message, request
+from tests.loopback import respond_ok, sidecar_harness, read_message, request
 
 CALLS = 128  # of functions of this program, for one request on kept connections; 122.1 when this was written
 
@@ -78,7 +78,7 @@
 
 def test_a_request_costs_no_more_calls_than_it_did():
     async def main():
-        async with place(fine, fine, fine, fine) as here:
+        async with sidecar_harness(respond_ok, respond_ok, respond_ok, respond_ok) as here:
             reader, writer = await here.connect()
 
             async def ask(first: int, count: int) -> None:
--- a/tests/websocket/test_sockets.py
+++ b/tests/websocket/test_sockets.py
@@ -15,17 +15,17 @@
 from covetally.websocket.life import Patience
 from covetally.websocket.policy import Bounds
 from covetally.websocket.settings import Plan, Route
-from tests.loopback import answer, fine, place, request
+from tests.loopback import response, respond_ok, sidecar_harness, request
 from tests.websocket.test_frames import frame
 
-WAIT_S = 8.0
+TEST_TIMEOUT_S = 8.0
 KEY = "dGhlIHNhbXBsZSBub25jZQ=="
 BYE = b"\x03\xe8done"
 
 
 def run(main) -> None:
     async def timed():
-        async with asyncio.timeout(WAIT_S):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             await main()
 
     asyncio.run(timed())
@@ -77,7 +77,7 @@
 
 @asynccontextmanager
 async def sockets(*scripts, **changes):
-    async with place(*scripts, clients=64, sockets=64) as here:
+    async with sidecar_harness(*scripts, clients=64, sockets=64) as here:
         config: Settings = here.balancer.book.settings
         bounds = {"sockets": 40, "per_tenant": 40, "drain_s": 0.5, "back_s": 2.0}
         patience = {"ping_s": 30.0, "pong_s": 10.0, "slow_s": 10.0, "idle_s": 0.0}
@@ -100,7 +100,7 @@
     return reader, writer
 
 
-async def until(check) -> None:
+async def wait_until(check) -> None:
     while not check():
         await asyncio.sleep(0.005)
 
@@ -120,7 +120,7 @@
             writer.write(frame(8, BYE))
             assert await read_frame(reader) == (8, BYE)
             assert await reader.read() == b""
-            await until(lambda: not here.hub.count)
+            await wait_until(lambda: not here.hub.count)
             assert here.hub.ended == {"closed by the client": 1}
             assert here.balancer.book.servers["s0"].held == 0
             assert here.upstream.connections == 0
@@ -150,9 +150,10 @@
 
 
 @pytest.mark.parametrize("status,got,want", [
-    (b"200 OK", answer(b"page"), 502), (b"302", answer(b"", b"302 Found", b"Location: /x"), 502),
-    (b"403", answer(b"no", b"403 Forbidden"), 403), (b"500", answer(b"", b"500 Oops"), 503),
-    (b"503", answer(b"", b"503 Busy", b"X-Never-Ran: 1"), 503), (b"101", agreed("AAAAAAAAAAAAAAAAAAAAAA=="), 503),
+    (b"200 OK", response(b"page"), 502), (b"302", response(b"", b"302 Found", b"Location: /x"), 502),
+    (b"403", response(b"no", b"403 Forbidden"), 403), (b"500", response(b"", b"500 Oops"), 503),
+    (b"503", response(b"", b"503 Busy", b"X-Never-Ran: 1"), 503),
+    (b"101", agreed("AAAAAAAAAAAAAAAAAAAAAA=="), 503),
     (b"extra", agreed(more="Sec-WebSocket-Extensions: x-odd\r\n"), 503),
     (b"half", agreed()[:40], 503),
 ])  # fmt: skip
@@ -167,7 +168,7 @@
         async with sockets(node) as here:
             answered = await here.status(ask("X-Expires-In: 0.4\r\n"))
             assert answered == want
-            await until(lambda: not here.sidecar.open)
+            await wait_until(lambda: not here.sidecar.open)
             assert here.hub.policy.counts() == {"nodes": {}, "tenants": {}}
             assert here.hub.count == 0
 
@@ -176,7 +177,7 @@
 
 def test_a_handshake_that_turns_out_full_is_sent_to_another_node():
     async def full(server, _, reader, writer):
-        writer.write(answer(b"", b"503 Busy", b"X-Never-Ran: 1"))
+        writer.write(response(b"", b"503 Busy", b"X-Never-Ran: 1"))
 
     async def main():
         async with sockets(full, echo) as here:
@@ -190,17 +191,17 @@
 
 def test_limits_refuse_before_the_upgrade_and_plain_requests_go_on():
     async def main():
-        async with sockets(echo, fine, sockets=2) as here:
-            here.tell({"s0": here.servers["s0"]})
+        async with sockets(echo, respond_ok, sockets=2) as here:
+            here.update_servers({"s0": here.servers["s0"]})
             here.hub.told({"s0": "up"}, True)
             streams = [await opened(here) for _ in range(2)]
             got = await here.ask(ask())
             assert b" 503 " in got[:20] and b"retry-after" in got
             streams[0][1].close()
-            await until(lambda: here.hub.count == 1)
+            await wait_until(lambda: here.hub.count == 1)
             streams.append(await opened(here))
-            here.tell(here.servers)
-            here.tell({"s0": here.servers["s0"]}, "INCREMENTAL", "removed")
+            here.update_servers(here.servers)
+            here.update_servers({"s0": here.servers["s0"]}, "INCREMENTAL", "removed")
             assert await here.status(request("plain")) == 200
             for _, writer in streams:
                 writer.close()
@@ -214,7 +215,7 @@
             streams = [await opened(here) for _ in range(12)]
             before = here.balancer.book.servers["s0"].held
             assert 0 < before < 12, "the two hold about the same"
-            here.tell({"s0": here.servers["s0"]}, "INCREMENTAL", "leaving")
+            here.update_servers({"s0": here.servers["s0"]}, "INCREMENTAL", "leaving")
             here.hub.told({"s0": "leaving"}, False)
             closed = 0
             for reader, writer in streams:
@@ -229,7 +230,7 @@
                 else:
                     read.cancel()
             assert closed == before
-            await until(lambda: here.hub.count == 12 - before)
+            await wait_until(lambda: here.hub.count == 12 - before)
             assert here.hub.ended == {"drain": before}
             assert (await opened(here)) and here.balancer.book.servers["s0"].held == 0
             for _, writer in streams:
@@ -241,7 +242,7 @@
 def test_a_node_that_says_nothing_is_noticed_and_its_client_told_1011():
     async def mute(server, _, reader, writer):
         writer.write(agreed())
-        await asyncio.sleep(WAIT_S)
+        await asyncio.sleep(TEST_TIMEOUT_S)
 
     async def main():
         async with sockets(mute, ping_s=0.1, pong_s=0.2) as here:
@@ -252,7 +253,7 @@
                 opcode, payload = await read_frame(reader)
             assert (opcode, payload[:2]) == (8, b"\x03\xf3")
             writer.write(frame(8, payload[:2]))
-            await until(lambda: not here.hub.count)
+            await wait_until(lambda: not here.hub.count)
             assert here.hub.ended == {"stalled node": 1}
             writer.close()
 
@@ -266,7 +267,7 @@
             here.servers["s0"].stop()
             assert (await read_frame(reader))[1][:2] == b"\x03\xf3"
             writer.write(frame(8, b"\x03\xf3"))
-            await until(lambda: not here.hub.count)
+            await wait_until(lambda: not here.hub.count)
             assert here.hub.ended == {"node lost": 1}
             writer.close()
 
@@ -291,7 +292,7 @@
             assert (await read_frame(reader))[1][:2] == b"\x03\xea"
             writer.write(frame(8, b"\x03\xea"))
             assert await reader.read() == b""
-            await until(lambda: not here.hub.count)
+            await wait_until(lambda: not here.hub.count)
             assert seen == [b"\x03\xe9"]
             writer.close()
 
@@ -307,7 +308,7 @@
             assert {payload[:2] for _, payload in got} == {b"\x03\xe9"}
             assert b" 503 " in (await here.ask(ask()))[:20]
             await ending
-            await until(lambda: not here.hub.count)
+            await wait_until(lambda: not here.hub.count)
             for _, writer in streams:
                 writer.close()
 
@@ -316,7 +317,7 @@
 
 def test_where_sockets_are_off_an_upgrade_is_read_past_as_ever():
     async def main():
-        async with place(fine) as here:
+        async with sidecar_harness(respond_ok) as here:
             got = await here.ask(ask("X-Trace-Id: t1\r\nX-Expires-In: 0.9\r\n"))
             assert b" 200 " in got[:20]
 
--- a/tests/workers/test_workers.py
+++ b/tests/workers/test_workers.py
@@ -19,12 +19,12 @@
 from covetally.rig.world import Shape, World
 from tests.loopback import read_message
 
-WAIT_S = 60.0
+TEST_TIMEOUT_S = 60.0
 
 
 def run(main) -> None:
     async def timed():
-        async with asyncio.timeout(WAIT_S):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             await main()
 
     asyncio.run(timed())
