--- a/covetally/net/connection_manager.py
+++ b/covetally/net/connection_manager.py
@@ -1,4 +1,4 @@
-"""What a client's connection asks of whoever let it in."""
+"""The interface through which a client connection reaches the component that accepted it."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class ConnectionManager(Protocol):
-    """Who let the connection in, and decides between it and others."""
+    """Accepts client connections, and decides which of them is closed when there are too many."""
 
     sidecar: Sidecar
     wheel: Wheel
@@ -29,26 +29,26 @@
     drain_stage: DrainStage
     read_scheduler: ReadScheduler
     shed_requests: int
-    refusal_ns: int  # after a refusal by order its client may come back no sooner
+    refusal_ns: int  # the retry-after time of requests refused during a drain; 0: none is sent
 
     @property
     def state(self) -> str:
-        """serving, draining or drained."""
+        """The drain stage as shown to operators: serving, draining or drained."""
 
     def on_busy(self, client: ClientConnection) -> None:
-        """It must not be closed to make room."""
+        """A request was received: the connection must not be evicted."""
 
     def on_idle(self, client: ClientConnection) -> None:
-        """It has no request under way any more."""
+        """The connection has no request in progress any more."""
 
     def on_lingering(self, client: ClientConnection) -> None:
-        """It has had its last answer."""
+        """The last response on the connection was written."""
 
     def on_closed(self, client: ClientConnection, reason: CloseReason | None) -> None:
-        """It is closed, for this reason; None if its connection was given to another protocol."""
+        """The connection was closed, or handed over to another protocol (`reason` is None)."""
 
     def claim(self, trace_id: bytes) -> bool:
-        """Whether this is a new request's id."""
+        """Register a request id as open; returns False if it is already in use."""
 
     def release(self, trace_id: bytes) -> None:
-        """The request of that id is over."""
+        """The request with this id has finished."""
--- a/covetally/net/eviction.py
+++ b/covetally/net/eviction.py
@@ -1,10 +1,12 @@
-"""Which client's connection is closed when room is needed for another. No I/O of its own.
-
-1. one that has had its last answer and lingers
-2. the oldest that has said nothing yet, once it has had the moment that a request takes to come
-3. the one that has been idle between requests for longest
-4. one that takes long to send a request
-never: one whose request was taken, or whose bytes wait unread
+"""Chooses the client connection to close when room is needed for a new one. No I/O.
+
+In this order:
+1. a connection that lingers after its last response
+2. the oldest connection that has sent nothing yet, once its grace period for a first request is over;
+   until then, nothing of 3 and 4 is closed either
+3. the connection that has been idle between requests for longest
+4. a connection that takes long to send a request
+Never a connection whose request was accepted, or one with unread input.
 """
 
 from __future__ import annotations
@@ -15,42 +17,44 @@
 if TYPE_CHECKING:
     from covetally.net.client_connection import ClientConnection
 
-# A client is given so long from its connection on to send, before it may be closed for others, which wait in the
-# listener's backlog meanwhile. The time that it has waited there itself counts: a crowd holds others up once.
-NEWCOMER_S = 0.05
-HALF_SENT_OLD_S = 0.3  # a request that takes longer to come makes room for others when there is none
+# How long a new connection is kept for its first request before it may be evicted; others wait in the listener's
+# backlog meanwhile. The time that it waited there itself counts, so a burst of connections delays others only
+# once.
+FIRST_REQUEST_GRACE_S = 0.05
+SLOW_REQUEST_S = 0.3  # a request that takes longer to arrive may be evicted
 
 
 class EvictionOrder:
-    """The connections with no request taken, each group in the order of coming. Times are the loop's, in s."""
+    """The connections without an accepted request, each group ordered by age. Times are seconds on the event
+    loop's clock."""
 
     def __init__(self) -> None:
-        self.fresh: dict[ClientConnection, None] = {}  # never finished a request
+        self.fresh: dict[ClientConnection, None] = {}  # have not completed a first request
         self.idle: dict[ClientConnection, None] = {}  # between two requests
-        self.lingering: dict[ClientConnection, None] = {}  # had a last answer, and may send on
+        self.lingering: dict[ClientConnection, None] = {}  # had their last response; the client may still send
 
     def discard(self, client: ClientConnection) -> None:
-        """It is closed, or has a request under way: it must not be closed for others."""
+        """Remove a connection that is closed or has a request in progress, so that it is not evicted."""
         self.fresh.pop(client, None)
         self.idle.pop(client, None)
         self.lingering.pop(client, None)
 
     def choose(self, now: float) -> ClientConnection | None:
-        """The connection to close; None if there is none to be closed now."""
+        """The connection to close; None if none may be closed now."""
         for client in self.lingering:
             return client
-        newcomer = self._newcomer()
-        if newcomer is not None:
-            return newcomer if newcomer.started_at <= now - NEWCOMER_S else None
-        resting = next((client for client in self.idle if client.silent()), None)
-        return resting or next(self._slow(now - HALF_SENT_OLD_S), None)
-
-    def due(self) -> float | None:
-        """When the connection may be closed that `choose` spares for having just come; None if there is none."""
-        newcomer = self._newcomer()
-        return newcomer.started_at + NEWCOMER_S if newcomer is not None else None
-
-    def _newcomer(self) -> ClientConnection | None:
+        silent = self._oldest_silent()
+        if silent is not None:
+            return silent if silent.started_at <= now - FIRST_REQUEST_GRACE_S else None
+        idle = next((client for client in self.idle if client.silent()), None)
+        return idle or next(self._slow(now - SLOW_REQUEST_S), None)
+
+    def grace_ends_at(self) -> float | None:
+        """When the grace period of the oldest silent new connection ends; None if there is no such connection."""
+        silent = self._oldest_silent()
+        return silent.started_at + FIRST_REQUEST_GRACE_S if silent is not None else None
+
+    def _oldest_silent(self) -> ClientConnection | None:
         return next((client for client in self.fresh if client.silent()), None)
 
     def _slow(self, before: float) -> Iterator[ClientConnection]:
--- a/covetally/net/frontend.py
+++ b/covetally/net/frontend.py
@@ -1,4 +1,5 @@
-"""The application's side: the listener, who is let in and who goes to make room, whose turn it is, the drain."""
+"""The client side of the sidecar: listener, connection limits, eviction, drain and shutdown of client
+connections."""
 
 from __future__ import annotations
 
@@ -16,7 +17,7 @@
 from covetally.net.client_connection import IN_FLIGHT_TIMEOUT_S, ClientConnection
 from covetally.net.close_reason import CloseReason
 from covetally.net.drain_stage import DrainStage, Stage
-from covetally.net.eviction import NEWCOMER_S, EvictionOrder
+from covetally.net.eviction import FIRST_REQUEST_GRACE_S, EvictionOrder
 from covetally.net.request_validation import RequestValidator
 from covetally.net.recent_ids import RecentIds
 from covetally.net.invariants import Invariant
@@ -29,23 +30,26 @@
 
 log = logging.getLogger(__name__)
 
-ACCEPT_BURST = 1 / 16  # of the connections let in at a time: those put out for them close only afterwards
-ACCEPT_PAUSE_S = 0.02  # when the process or the machine has no descriptor left
-REGISTER_TRIES = 50  # of watching a connection that was accepted, ACCEPT_PAUSE_S apart
-RECEIVE_BUFFER = 64 * 1024  # kernel's, for each connection: what lies there unread is already taken
-REST_SHARE = 1 / 4  # of the connections may rest between requests at a time
-LOOKS = 8  # at so many resting connections at a time, for one that may be closed
+# Share of the connection limit that is accepted in one go: connections evicted for new ones close only
+# afterwards.
+ACCEPT_BURST = 1 / 16
+ACCEPT_PAUSE_S = 0.02  # before the next accept if the process or the machine is out of file descriptors
+REGISTER_ATTEMPTS = 50  # attempts to register an accepted socket with the event loop, ACCEPT_PAUSE_S apart
+RECEIVE_BUFFER = 64 * 1024  # of the kernel, for each connection; unread bytes in it are already accepted
+MAX_IDLE_SHARE = 1 / 4  # share of the connection limit that may be idle between requests
+IDLE_CANDIDATES = 8  # idle connections examined for one that may be closed
 
 
 def create_listener(address: tuple[str, int], backlog: int = 4096) -> socket.socket:
-    """A listener; OSError if the address cannot be had. What is set here holds for each of its connections."""
+    """Create a listening socket; OSError if the address is not available. Accepted connections inherit the socket
+    options."""
     listener = socket.create_server(address, backlog=backlog)
     listener.setblocking(False)
     try:
-        # A large one would let requests count as taken that nobody has read.
+        # With a large receive buffer, requests would count as accepted long before they are read.
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER)
-        # Without it the kernel keeps a last small piece back until what went before is acknowledged, which the
-        # peer may put off by 40 ms.
+        # Without TCP_NODELAY the kernel delays a last small segment until the previous data is acknowledged,
+        # which the peer may put off by 40 ms.
         listener.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     except OSError:
         listener.close()
@@ -54,94 +58,99 @@
 
 
 class AcceptResult(enum.Enum):
-    """What a look at the listener came to."""
+    """The result of trying to accept one connection."""
 
-    ACCEPTED = enum.auto()  # one connection was taken from it, and there may be more
+    ACCEPTED = enum.auto()  # one was accepted, and more may be waiting
     NONE_WAITING = enum.auto()
-    NO_ROOM = enum.auto()  # there may be some, and none can be had now
-    FAILED = enum.auto()  # the next may be had: one connection is gone, or the system call failed for a moment
+    NO_ROOM = enum.auto()  # some may be waiting, but none can be accepted now
+    FAILED = (
+        enum.auto()
+    )  # the next accept may succeed: a connection is gone, or the system call failed temporarily
 
 
 ACCEPTED, NONE_WAITING, NO_ROOM, FAILED = AcceptResult
 
 
 class Frontend:
-    """Lets clients in under a budget of descriptors and sees each connection through."""
+    """Accepts client connections within a limit and manages them until they are closed. Implements
+    `ConnectionManager`."""
 
     def __init__(self, settings: Settings, sidecar: Sidecar, limit: int, body_memory: int) -> None:
         self.sidecar = sidecar
         self.wheel = sidecar.wheel
         self.budget = BodyBudget(body_memory)
         self.drain_stage = DrainStage()
-        self._drain_timer: asyncio.TimerHandle | None = None  # for the next stage of a drain by order
-        self.closed: Counter[CloseReason] = Counter()  # connections, by why
-        self.gate: Gate | None = None  # caps on tenants' connections, where there are any
+        self._drain_timer: asyncio.TimerHandle | None = None  # for the next stage of an operator's drain
+        self.closed: Counter[CloseReason] = Counter()  # closed connections by reason
+        self.gate: Gate | None = None  # enforces connection caps of tenants, if configured
         self.retune(settings, limit, body_memory)
         self._clients: dict[ClientConnection, None] = {}
-        self._order = EvictionOrder()
-        self.on_busy = self._order.discard  # see `ConnectionManager`
-        self._room_timer: asyncio.TimerHandle | None = None  # when a newcomer may be closed for the next one
+        self._eviction = EvictionOrder()
+        self.on_busy = self._eviction.discard  # see `ConnectionManager.on_busy`
+        self._grace_timer: asyncio.TimerHandle | None = None  # fires when a new connection may be evicted
         self._ids = RecentIds(max(c.deadline_ns for c in settings.classes) / SECOND)
         self._listener: socket.socket
         self._claims: Claims | None = None
         self._accepting = False
-        self._drained = asyncio.Event()
-        self.shed_requests = 0  # requests refused at a glance, unread
+        self._all_gone = asyncio.Event()
+        self.shed_requests = 0  # requests refused without being parsed
         self.upgrades: Upgrades | None = None
         self.read_scheduler = ReadScheduler(sidecar)
 
     def retune(self, settings: Settings, limit: int, body_memory: int) -> None:
-        """Keep to these from here on. Connections beyond a lower limit go as they fall idle, none before."""
+        """Apply new settings and limits. If the connection limit is lowered, excess connections are closed once
+        they are idle, not earlier."""
         self.request_validator = RequestValidator(settings)
-        self._longest_s = max(cls.deadline_ns for cls in settings.classes) / SECOND
+        self._longest_deadline_s = max(cls.deadline_ns for cls in settings.classes) / SECOND
         self.refusal_ns = settings.limits.max_retry_after_ns if settings.limits.retry_after else 0
         self.budget.resize(body_memory)
         self._limit = limit
-        self._rest_limit = max(1, int(limit * REST_SHARE))
-        self._burst = max(8, int(limit * ACCEPT_BURST))
+        self._idle_limit = max(1, int(limit * MAX_IDLE_SHARE))
+        self._accept_burst = max(8, int(limit * ACCEPT_BURST))
 
     @property
     def connections(self) -> int:
-        """How many clients are connected."""
+        """The number of client connections."""
         return len(self._clients)
 
-    # --- letting in -----------------------------------------------------------------------------
+    # --- accepting ------------------------------------------------------------------------------
 
     def start_accepting(self, listener: socket.socket, claims: Claims | None = None) -> tuple[str, int]:
-        """Begin to accept at a listener; `claims` knows the ids that others beside this one have open. Returns
-        the address."""
+        """Start to accept connections on a listener, and return its address. `claims` registers open request ids
+        with the other processes that accept on the same address."""
         self._listener, self._claims = listener, claims
-        self._resume()
+        self._resume_accepting()
         return listener.getsockname()
 
-    def _resume(self) -> None:
+    def _resume_accepting(self) -> None:
         if self._accepting or self._listener.fileno() < 0:
             return
         loop = asyncio.get_running_loop()
         try:
             loop.add_reader(self._listener, self._accept)
         except OSError as error:
-            log.warning("cannot wait for connections: %s", error)
-            loop.call_later(ACCEPT_PAUSE_S, self._resume)
+            log.warning("cannot register the listener: %s", error)
+            loop.call_later(ACCEPT_PAUSE_S, self._resume_accepting)
         else:
             self._accepting = True
 
-    def _pause(self) -> None:
+    def _pause_accepting(self) -> None:
         self._accepting = False
         asyncio.get_running_loop().remove_reader(self._listener)
 
     def _accept(self) -> None:
-        for turn in range(self._burst):
+        for turn in range(self._accept_burst):
             if turn and len(self._clients) >= self._limit:
-                return  # nobody is put out before it is known that somebody waits
+                return  # evict only once the listener is known to have a connection waiting
             if self._accept_one() in (NONE_WAITING, NO_ROOM):
                 return
 
     def _accept_one(self) -> AcceptResult:
-        """Let one connection in, if there is one and room for it."""
+        """Accept one connection, if one is waiting and there is room for it."""
         if len(self._clients) >= self._limit and not self._evict():
-            self._pause()  # the first request to end makes room, or the first newcomer whose moment is over
-            self._resume_for_newcomers()
+            # Room is made by the next request that finishes, or when the grace period of a new connection ends.
+            self._pause_accepting()
+            self._resume_after_grace()
             return NO_ROOM
         try:
             sock, _ = self._listener.accept()
@@ -150,60 +159,63 @@
         except OSError as error:
             if error.errno in NEXT_ACCEPT:
                 return FAILED
-            # The listener stays readable: without a pause the loop would spin on it and serve nobody.
+            # The listener stays readable: without a pause the event loop would spin on it and serve nothing else.
             log.warning("cannot accept: %s", error)
             self._evict()
-            self._pause()
-            asyncio.get_running_loop().call_later(ACCEPT_PAUSE_S, self._resume)
+            self._pause_accepting()
+            asyncio.get_running_loop().call_later(ACCEPT_PAUSE_S, self._resume_accepting)
             return NO_ROOM
-        up, waited_ns = tcp_info(sock)
-        if not up:
-            # Guards against a full backlog of clients that gave up while they waited: to read and answer what
-            # they sent, which nobody will see, would make those wait who are still there. It ought to catch
-            # any crowd that connects and leaves. It does harm to a client that closes its side for writing
-            # and still waits for an answer, which the protocol takes for gone as well.
+        connected, waited_ns = tcp_info(sock)
+        if not connected:
+            # Guards against a backlog full of clients that gave up while waiting: serving their requests would
+            # delay the clients that are still connected. Catches any burst of clients that connect and leave.
+            # Harms clients that half-close their connection and still wait for a response; the protocol treats
+            # those as gone, too.
             sock.close()
             return ACCEPTED
         sock.setblocking(False)
-        self._begin(sock, waited_ns / SECOND, REGISTER_TRIES)
+        self._start_connection(sock, waited_ns / SECOND, REGISTER_ATTEMPTS)
         return ACCEPTED
 
-    def _begin(self, sock: socket.socket, waited_s: float, tries: int) -> None:
-        """See an accepted connection through, which waited so long in the backlog.
+    def _start_connection(self, sock: socket.socket, backlog_wait_s: float, attempts_left: int) -> None:
+        """Start to serve an accepted connection that has waited in the backlog for `backlog_wait_s`.
 
-        Where the system cannot watch it now, it is tried again shortly: the machine has taken it, and its client
-        may have sent a request already.
+        If the event loop cannot register the socket, this is retried after a pause: the kernel has accepted the
+        connection, and its client may already have sent a request.
         """
         try:
             client = ClientConnection(self, sock)
-            client.started_at -= waited_s
+            client.started_at -= backlog_wait_s
         except OSError as error:
-            log.warning("cannot watch a connection: %s", error)
-            if tries > 0:
-                asyncio.get_running_loop().call_later(ACCEPT_PAUSE_S, self._begin, sock, waited_s, tries - 1)
+            log.warning("cannot register a connection: %s", error)
+            if attempts_left > 0:
+                asyncio.get_running_loop().call_later(
+                    ACCEPT_PAUSE_S, self._start_connection, sock, backlog_wait_s, attempts_left - 1
+                )
             else:
                 sock.close()
             return
-        self._order.fresh[client] = self._clients[client] = None
-
-    def _resume_for_newcomers(self) -> None:
-        """Accept again once the oldest newcomer has had its moment to send."""
-        due = self._order.due()
-        if self._room_timer is not None:
-            self._room_timer.cancel()
-            self._room_timer = None
+        self._eviction.fresh[client] = self._clients[client] = None
+
+    def _resume_after_grace(self) -> None:
+        """Resume accepting when the grace period of the oldest silent new connection ends."""
+        due = self._eviction.grace_ends_at()
+        if self._grace_timer is not None:
+            self._grace_timer.cancel()
+            self._grace_timer = None
         if due is not None:
-            self._room_timer = asyncio.get_running_loop().call_at(due, self._resume)
+            self._grace_timer = asyncio.get_running_loop().call_at(due, self._resume_accepting)
 
     def _evict(self) -> bool:
-        """Make room by one connection; whether there was one to close (see `EvictionOrder`)."""
-        client = self._order.choose(asyncio.get_running_loop().time())
+        """Close one connection to make room; returns whether there was one that may be closed (see
+        `EvictionOrder`)."""
+        client = self._eviction.choose(asyncio.get_running_loop().time())
         if client is not None:
             client.close(CloseReason.MADE_ROOM)
         return client is not None
 
     def on_closed(self, client: ClientConnection, reason: CloseReason | None) -> None:
-        """Its connection is closed (see `ConnectionManager`)."""
+        """Called when a connection is closed (see `ConnectionManager`)."""
         if reason is not None:
             self.closed[reason] += 1
             log.debug("connection closed: %s; its last request: %s", reason.value, client.trace_id)
@@ -212,112 +224,113 @@
         self._clients.pop(client, None)
         self.on_busy(client)
         if not self._clients:
-            self._drained.set()
-        self._resume()
+            self._all_gone.set()
+        self._resume_accepting()
 
-    # --- what connections tell ------------------------------------------------------------------
+    # --- events of connections ------------------------------------------------------------------
 
     def on_idle(self, client: ClientConnection) -> None:
-        """It has no request under way any more: last in the order of those that rest.
+        """Add a connection without a request in progress to the idle ones, as the most recent.
 
-        Of more than may rest, the one that has rested longest is closed. Guards against clients that ask once
-        and keep their connection: they may hold as many as whoever is beside us lets them, and then nobody
-        gets a connection until some have rested for as long as they may. It ought to catch any pool that is
-        larger than its traffic. It costs clients that use more connections in turn than may rest a new one
-        now and then; a request that crosses the close is theirs to send again, as the protocol has it.
+        If more connections are idle than allowed, the one that has been idle for longest is closed. Guards
+        against clients that send one request and keep their connection: they could hold all connections, and no
+        other client would get one until their idle timeouts. Catches any client pool that is larger than its
+        traffic needs. Costs clients that rotate over more connections than may be idle a reconnect now and then;
+        a request that crosses the close has to be sent again by the client, as the protocol says.
         """
         if client not in self._clients:
             return
-        idle = self._order.idle
+        idle = self._eviction.idle
         idle[client] = None
-        if len(idle) > self._rest_limit or len(self._clients) > self._limit:
-            longest = next((c for c in islice(idle, LOOKS) if c.silent()), None)
-            if longest is not None:
-                longest.close(CloseReason.IDLE_LIMIT)
-        self._resume()
+        if len(idle) > self._idle_limit or len(self._clients) > self._limit:
+            oldest = next((c for c in islice(idle, IDLE_CANDIDATES) if c.silent()), None)
+            if oldest is not None:
+                oldest.close(CloseReason.IDLE_LIMIT)
+        self._resume_accepting()
 
     def on_lingering(self, client: ClientConnection) -> None:
-        """It has had its last answer: it goes first when room is needed.
+        """Make a connection that has had its last response the first to be evicted.
 
-        Guards against clients that leave the closing to us and keep their side open: each would hold a place
-        for as long as a closing connection is read from.
+        Guards against clients that do not close their side: each would occupy a connection for the whole linger
+        timeout.
         """
         self.on_busy(client)
         if client in self._clients:
-            self._order.lingering[client] = None
-            self._resume()
+            self._eviction.lingering[client] = None
+            self._resume_accepting()
 
     def claim(self, trace_id: bytes) -> bool:
-        """Whether this is a new request's id."""
+        """Register a request id as open; returns False if it is already in use."""
         if not self._ids.claim(trace_id, asyncio.get_running_loop().time()):
             return False
         return self._claims is None or self._claims.claim(trace_id)
 
     def release(self, trace_id: bytes) -> None:
-        """The request of that id is over."""
+        """Called when the request with this id has finished."""
         if self._claims is not None:
             self._claims.release(trace_id)
 
-    # --- the end --------------------------------------------------------------------------------
+    # --- drain and shutdown ---------------------------------------------------------------------
 
     @property
     def state(self) -> str:
-        """serving, draining or drained."""
+        """The drain stage as shown to operators: serving, draining or drained."""
         return self.drain_stage.shown
 
     def start_drain(self, within_s: float | None = None) -> None:
-        """Tell clients to stay away, and hold none of their connections and requests after so many seconds, the
-        longest deadline and a margin at least (see `DrainStage`)."""
-        if self.drain_stage.drain(asyncio.get_running_loop().time(), within_s, self._longest_s):
-            self._close_silent_but_newcomers()
-            self._await_stage()
+        """Start to drain, as ordered by an operator: no connection or request is left after `within_s` seconds.
+        The drain takes at least the longest request deadline and a margin (see `DrainStage`)."""
+        if self.drain_stage.drain(asyncio.get_running_loop().time(), within_s, self._longest_deadline_s):
+            self._close_silent_except_new()
+            self._schedule_next_stage()
 
     def start_drained(self) -> None:
-        """Refuse whatever comes from the beginning on, until `resume`."""
+        """Refuse all requests from the start, until `resume` is called."""
         self.drain_stage.restore()
 
     def resume(self) -> None:
-        """Serve again."""
+        """Serve requests again after a drain."""
         if self.drain_stage.resume():
-            self._await_stage()
+            self._schedule_next_stage()
 
-    def _await_stage(self) -> None:
+    def _schedule_next_stage(self) -> None:
         if self._drain_timer is not None:
             self._drain_timer.cancel()
             self._drain_timer = None
         log.info("%s, with %d connections", self.state, len(self._clients))
         due = self.drain_stage.due()
         if due is not None:
-            self._drain_timer = asyncio.get_running_loop().call_at(due, self._next_stage)
+            self._drain_timer = asyncio.get_running_loop().call_at(due, self._advance_stage)
 
-    def _next_stage(self) -> None:
+    def _advance_stage(self) -> None:
         if self.drain_stage.advance(asyncio.get_running_loop().time()):
-            self._close_silent_but_newcomers()
+            self._close_silent_except_new()
             if self.drain_stage.stage is Stage.DRAINED:
-                self._close_all_but_newcomers()
-        self._await_stage()
+                self._close_all_except_new()
+        self._schedule_next_stage()
 
-    def _close_silent_but_newcomers(self) -> None:
-        """Close who has sent nothing of a request. Whoever has just come is given a moment: a first request that
-        crosses a close is lost, where one on a resting connection is sent again."""
+    def _close_silent_except_new(self) -> None:
+        """Close all connections on which no request has started, except new ones in their grace period: clients
+        retry a request that crosses the close of an idle connection, but not the first request on a new one."""
         now = asyncio.get_running_loop().time()
-        newcomers = [client for client in self._order.fresh if client.started_at > now - NEWCOMER_S]
-        for client in newcomers:
-            client.expect_request_within(NEWCOMER_S)
-        self._close_silent(self._order.fresh.keys() - newcomers, self._order.idle)
-
-    def _close_all_but_newcomers(self) -> None:
-        """Close what has outlasted a drain: half a request, an answer that is not taken. Whoever has just come is
-        refused like all that come later."""
+        in_grace = [client for client in self._eviction.fresh if client.started_at > now - FIRST_REQUEST_GRACE_S]
+        for client in in_grace:
+            client.expect_request_within(FIRST_REQUEST_GRACE_S)
+        self._close_silent(self._eviction.fresh.keys() - in_grace, self._eviction.idle)
+
+    def _close_all_except_new(self) -> None:
+        """Close what is left at the end of a drain: connections with a partial request or with a response that
+        the client does not read. New connections are refused like all later ones."""
         for client in list(self._clients):
-            if client in self._order.fresh:
+            if client in self._eviction.fresh:
                 client.reject_incomplete_request()
             else:
                 client.close(CloseReason.SHUTDOWN)
 
     async def shut_down(self, within_s: float, accept: bool = True) -> None:
-        """Finish what was taken, and close all connections within this time. New connections go on coming for a
-        while and are served too, unless others accept at the same address and go on."""
+        """Finish the accepted requests and close all connections within `within_s` seconds. New connections are
+        accepted and served for a while, unless other processes go on accepting at the same address
+        (`accept=False`)."""
         began = asyncio.get_running_loop().time()
         times = times_within(within_s)
         answered_by, closed_by = began + times.answered_s, began + times.closed_s
@@ -325,60 +338,60 @@
         if self._drain_timer is not None:
             self._drain_timer.cancel()
         self.sidecar.end_by(answered_by)
-        # Early: a request that crosses this is sent anew and finds the listener open. Not those that have just
-        # come: their first request is on its way.
-        self._close_silent(self._order.idle)
+        # Idle connections are closed early: a client whose request crosses the close retries it and finds the
+        # listener open. New connections are kept, since their first request is on its way.
+        self._close_silent(self._eviction.idle)
         if accept:
             await asyncio.sleep(times.accepting_s)
             await self._accept_backlog(answered_by)
-        self._pause()
+        self._pause_accepting()
         self._listener.close()
-        self._log_held("the listener is closed")
-        await self._all_closed(began + times.accepting_s + IN_FLIGHT_TIMEOUT_S)
-        # Who has begun to send may end it: once its last byte is written, an answer is owed.
-        self._close_silent(self._order.fresh, self._order.idle)
-        await self._all_closed(answered_by)
-        self._close_silent(self._order.fresh, self._order.idle)
-        self._log_held("whoever has not sent a whole request is turned away")
+        self._log_open("the listener is closed")
+        await self._wait_all_closed(began + times.accepting_s + IN_FLIGHT_TIMEOUT_S)
+        # A request that has started may still be completed: once its last byte is written, a response is owed.
+        self._close_silent(self._eviction.fresh, self._eviction.idle)
+        await self._wait_all_closed(answered_by)
+        self._close_silent(self._eviction.fresh, self._eviction.idle)
+        self._log_open("incomplete requests are rejected")
         for client in list(self._clients):
             client.reject_incomplete_request()
-        await self._all_closed(closed_by)
+        await self._wait_all_closed(closed_by)
         self._cut_off()
 
-    def _log_held(self, stage: str) -> None:
-        """What is still connected, by what each connection is at."""
+    def _log_open(self, step: str) -> None:
+        """Log the open connections by phase."""
         if self._clients:
-            held = Counter(client.phase.name.lower() for client in self._clients)
-            log.info("drain: %s: %s", stage, ", ".join(f"{count} {name}" for name, count in held.items()))
+            phases = Counter(client.phase.name.lower() for client in self._clients)
+            log.info("drain: %s: %s", step, ", ".join(f"{count} {name}" for name, count in phases.items()))
 
-    async def _accept_backlog(self, until: float) -> None:
-        """Let in what waits in the backlog, as others make room: this machine has taken it."""
+    async def _accept_backlog(self, deadline: float) -> None:
+        """Accept the connections that wait in the backlog, as room becomes free: the kernel has accepted them."""
         loop = asyncio.get_running_loop()
-        while (found := self._accept_one()) is not NONE_WAITING and loop.time() < until:
-            # Always a turn of the loop: an accept that goes on failing must not keep it from what it owes.
-            await asyncio.sleep(0 if found is ACCEPTED else ACCEPT_PAUSE_S)
+        while (result := self._accept_one()) is not NONE_WAITING and loop.time() < deadline:
+            # Always yield to the event loop: an accept that keeps failing must not block the pending responses.
+            await asyncio.sleep(0 if result is ACCEPTED else ACCEPT_PAUSE_S)
 
-    async def _all_closed(self, until: float) -> None:
-        """Wait until no client is connected, but not past that time on the loop's clock."""
+    async def _wait_all_closed(self, deadline: float) -> None:
+        """Wait until no client is connected, or until this time on the event loop's clock."""
         if not self._clients:
             return
-        self._drained.clear()
+        self._all_gone.clear()
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout_at(until):
-                await self._drained.wait()
+            async with asyncio.timeout_at(deadline):
+                await self._all_gone.wait()
 
     def _cut_off(self) -> None:
-        """Close whatever is still connected."""
+        """Close all remaining connections."""
         if self._clients:
             log.warning("drain: %d connections cut off", len(self._clients))
         for client in list(self._clients):
             if client.awaiting_response:
                 name = client.trace_id.decode("latin-1")
                 self.sidecar.violations.report(Invariant.ENDED_OWING, name, "no answer when the process ended")
-            client.close(CloseReason.SHUTDOWN, reset=client not in self._order.lingering)
+            client.close(CloseReason.SHUTDOWN, reset=client not in self._eviction.lingering)
 
     def _close_silent(self, *groups: Iterable[ClientConnection]) -> None:
-        """Close who has sent nothing of a request."""
+        """Close the connections of these groups on which no request has started."""
         for client in [client for group in groups for client in group]:
             if client.silent():
                 client.close(CloseReason.SHUTDOWN)
--- a/covetally/net/read_scheduler.py
+++ b/covetally/net/read_scheduler.py
@@ -1,4 +1,7 @@
-"""Whose turn it is to be read, where a loop is late: what has lain here takes turns with servers' answers."""
+"""Schedules the reading of client connections, so that new requests do not delay responses of servers.
+
+This matters when the event loop runs late and finds the input of many connections at once.
+"""
 
 from __future__ import annotations
 
@@ -15,58 +18,58 @@
 
 log = logging.getLogger(__name__)
 
-READ_AT_ONCE_NS = 6_000_000  # what has lain here no longer is read at once,
-READ_SLICE_S = 0.01  # and the rest for so long between two looks at the sockets
+READ_AT_ONCE_NS = 6_000_000  # input that has waited for less is read at once,
+READ_SLICE_S = 0.01  # all other input in slices of this time, with a poll of the sockets after each
 
 
 class ReadScheduler:
-    """Connections whose bytes have lain here, in the order of their coming."""
+    """A queue of connections with waiting input, in order of arrival."""
 
     def __init__(self, sidecar: Sidecar) -> None:
         self._sidecar = sidecar
-        self._waiting: dict[ClientConnection, None] = {}
+        self._queue: dict[ClientConnection, None] = {}
 
     def may_read_now(self, client: ClientConnection) -> bool:
-        """Whether a client's bytes are to be read now; else its `read_input` is called when its turn comes.
+        """Whether the client's input may be read now; if not, `read_input` is called when its turn comes.
 
-        Guards against a loop that is late and reads all that has come before it looks at the servers' answers:
-        each of those waits behind hundreds of new requests, and comes too late in its turn. So what has lain here
-        is read for READ_SLICE_S between two looks at the sockets, in order of its coming; under overload the
-        newest too, since the oldest will be refused. It costs a request that waited a turn of the loop more.
+        Guards against an event loop that runs late and reads all waiting input before it polls the sockets again:
+        each response of a server would wait behind hundreds of new requests and be late. So waiting input is read
+        for READ_SLICE_S between two polls, in order of arrival; under overload the newest is read as well, since
+        the oldest will be refused. Costs a request that waited one more iteration of the event loop.
         """
-        if not self._waiting and time.monotonic_ns() - client.stream.received_at < READ_AT_ONCE_NS:
+        if not self._queue and time.monotonic_ns() - client.stream.received_at < READ_AT_ONCE_NS:
             return True
-        if client not in self._waiting:
-            self._waiting[client] = None
-            if len(self._waiting) == 1:
-                asyncio.get_running_loop().call_soon(self._take)
+        if client not in self._queue:
+            self._queue[client] = None
+            if len(self._queue) == 1:
+                asyncio.get_running_loop().call_soon(self._read_slice)
         return False
 
-    def _take(self) -> None:
-        loop, waiting = asyncio.get_running_loop(), self._waiting
+    def _read_slice(self) -> None:
+        loop, queue = asyncio.get_running_loop(), self._queue
         start = at = loop.time()
-        ahead = 0.0  # time spent on the newest, less that on the oldest
-        while waiting and at < start + READ_SLICE_S:
-            newest = ahead <= 0.0 and self._sidecar.shedding and self._newest_first()
-            client = next(reversed(waiting)) if newest else next(iter(waiting))
-            del waiting[client]
+        balance = 0.0  # time spent on the newest connections, minus that spent on the oldest
+        while queue and at < start + READ_SLICE_S:
+            newest = balance <= 0.0 and self._sidecar.shedding and self._newest_first()
+            client = next(reversed(queue)) if newest else next(iter(queue))
+            del queue[client]
             try:
                 client.read_input()
-            except Exception:  # a bug costs the connection at hand, and keeps no other from its turn
+            except Exception:  # a bug closes this connection and must not stop the others from being read
                 log.exception("a connection failed by a bug")
                 client.close(CloseReason.BUG)
             now = loop.time()
-            ahead += now - at if newest else at - now
+            balance += now - at if newest else at - now
             at = now
-        if waiting:
-            loop.call_soon(self._take)
+        if queue:
+            loop.call_soon(self._read_slice)
 
     def _newest_first(self) -> bool:
-        """Under overload, whether the newest is served before the oldest is refused.
+        """Under overload, whether to read the newest connection before the oldest one is refused.
 
-        Refusing alone can take all there is, so the two get the same time, as long as there is one that need not
-        be refused and none has waited for an aim: that one is owed an answer first.
+        Refusals alone can use up all the time, so both get an equal share, as long as the newest request need not
+        be refused and the oldest has not waited for a whole aim: that one is owed an answer first.
         """
         now, old_ns = time.monotonic_ns(), self._sidecar.old_ns
-        oldest, newest = next(iter(self._waiting)), next(reversed(self._waiting))
+        oldest, newest = next(iter(self._queue)), next(reversed(self._queue))
         return now - newest.stream.received_at < old_ns and now - oldest.stream.received_at < 4 * old_ns
--- a/tests/crossings/test_ending.py
+++ b/tests/crossings/test_ending.py
@@ -117,7 +117,7 @@
         async with sidecar_harness(large) as here:
             asks, connection = await slow_reader(here, receives=4096, sends=1024 * 1024)  # the rest waits
             asks.send(request("large", more="Connection: close\r\n"))
-            await wait_until(lambda: here.frontend._order.lingering)
+            await wait_until(lambda: here.frontend._eviction.lingering)
             asks.send(b"more")  # the loop has not run since
             assert here.frontend._evict()
             got = b""
--- a/tests/incidents/test_crowd.py
+++ b/tests/incidents/test_crowd.py
@@ -11,7 +11,7 @@
 import time
 from dataclasses import dataclass
 
-from covetally.net.eviction import NEWCOMER_S
+from covetally.net.eviction import FIRST_REQUEST_GRACE_S
 from covetally.rig.world import Shape, World
 from tests.loopback import TEST_TIMEOUT_S, read_message
 from tests.test_standing import get
@@ -20,7 +20,7 @@
 CLIENTS = 16
 CROWDS = (150, 400)  # idle connections, one crowd after the other
 SEND_AFTER_S = 0.01  # a client that has connected sends
-PROMPT_S = 0.8 * NEWCOMER_S  # whoever sent so soon after it began to connect must be answered
+PROMPT_S = 0.8 * FIRST_REQUEST_GRACE_S  # whoever sent so soon after it began to connect must be answered
 PROMPT_CLIENTS = 3 * CLIENTS  # so many of them are wanted; others were held up by this machine
 
 
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -156,7 +156,7 @@
             yield here
     finally:
         if frontend._listener.fileno() >= 0:  # else a drain has closed it
-            frontend._pause()
+            frontend._pause_accepting()
             frontend._listener.close()
         for client in list(frontend._clients):
             client.close(CloseReason.CLIENT_LEFT)
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -8,7 +8,7 @@
 import pytest
 
 from covetally.net import client_connection
-from covetally.net.eviction import NEWCOMER_S
+from covetally.net.eviction import FIRST_REQUEST_GRACE_S
 from covetally.net.recent_ids import RecentIds
 from tests.loopback import respond_ok, sidecar_harness, read_message, request, trace_ids, wait_until
 
@@ -200,9 +200,9 @@
     async def main():
         async with sidecar_harness(respond_ok) as here:
             with socket.create_connection(here.address) as sock:
-                await wait_until(lambda: any(c.silent() for c in here.frontend._order.fresh))
-                (client,) = here.frontend._order.fresh
-                await asyncio.sleep(2 * NEWCOMER_S)  # by its age it may go
+                await wait_until(lambda: any(c.silent() for c in here.frontend._eviction.fresh))
+                (client,) = here.frontend._eviction.fresh
+                await asyncio.sleep(2 * FIRST_REQUEST_GRACE_S)  # by its age it may go
                 sock.send(request())  # in the kernel: the loop has not run since
                 assert not client.silent()
                 assert not here.frontend._evict()
