--- a/benchmarks/sampled.py
+++ b/benchmarks/sampled.py
@@ -28,7 +28,7 @@
     ("net/client_connection.py", ("_send", "finish", "_on_response_written", "_linger"), "answer"),
     ("net/http_message.py", ("encode",), "write"),
     ("net/http_message.py", (), "parse"),
-    ("net/stream.py", ("send", "_writable"), "write"),
+    ("net/stream.py", ("send", "_on_writable"), "write"),
     ("net/stream.py", ("__init__",), "connect"),
     ("net/stream.py", (), "read"),
     ("net/attempt.py", ("_connect", "_connected", "_up"), "connect"),
--- a/covetally/net/frontend.py
+++ b/covetally/net/frontend.py
@@ -63,9 +63,7 @@
     ACCEPTED = enum.auto()  # one was accepted, and more may be waiting
     NONE_WAITING = enum.auto()
     NO_ROOM = enum.auto()  # some may be waiting, but none can be accepted now
-    FAILED = (
-        enum.auto()
-    )  # the next accept may succeed: a connection is gone, or the system call failed temporarily
+    FAILED = enum.auto()  # the next accept may succeed: one client has gone, or the call failed temporarily
 
 
 ACCEPTED, NONE_WAITING, NO_ROOM, FAILED = AcceptResult
--- a/covetally/net/http_message.py
+++ b/covetally/net/http_message.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 messages: their parts as httptools finds them, and their bytes. No I/O is done here."""
+"""HTTP/1.1 messages: incremental parsing with httptools, and encoding. No I/O."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 
 import httptools
 
-MAX_HEAD = 16 * 1024  # heads are a few hundred bytes; past this a peer is only costing memory
-MAX_BODY = 64 * 1024  # the protocol's limit, in both directions
+MAX_HEAD = 16 * 1024  # heads usually have a few hundred bytes; a larger one only wastes memory
+MAX_BODY = 64 * 1024  # the limit of the protocol, for requests and responses
 
 Headers = list[tuple[bytes, bytes]]
 Fields = dict[bytes, bytes]
@@ -20,16 +20,16 @@
     b"connection keep-alive proxy-authenticate proxy-authorization proxy-connection te trailer "
     b"transfer-encoding upgrade expect content-length".split()
 )
-_NAMED = HOP_BY_HOP - {b"content-length"}
+_HOP_BY_HOP_EXCEPT_LENGTH = HOP_BY_HOP - {b"content-length"}
 
 
 class Broken(ConnectionError):
-    """The connection ended, or said what it must not, where the message should go on."""
+    """The connection was lost, or received something invalid, in the middle of a message."""
 
 
 class Malformed(Exception):
-    """What came is no HTTP/1.1 message; `status` is the answer for it, where there is anybody to answer, and
-    `headers` go with it."""
+    """The input is not a valid HTTP/1.1 message. For a request, `status` and `headers` make up the response to
+    it."""
 
     def __init__(self, reason: str, status: int = 400, headers: Headers | None = None) -> None:
         super().__init__(reason)
@@ -37,7 +37,7 @@
 
 
 class RequestHead(NamedTuple):
-    """The head of a request, header names in lower case. `fields` is `headers` by name, the last of each."""
+    """The head of a request, with header names in lower case. `fields` maps each name to its last value."""
 
     method: bytes
     target: bytes
@@ -46,7 +46,7 @@
 
 
 class ResponseHead(NamedTuple):
-    """The head of an answer, or with a status below 200 one of those ahead of it. `fields` as in RequestHead."""
+    """The head of a response, final or interim (status below 200). `fields` as in RequestHead."""
 
     status: int
     headers: Headers
@@ -54,17 +54,18 @@
 
 
 class End(enum.Enum):
-    """What follows the last part of a body."""
+    """The last part of a message, or of the input."""
 
-    MESSAGE = "message"  # it is whole
-    CONNECTION = "connection"  # there was none: the peer closed the connection between messages
+    MESSAGE = "message"  # the message is complete
+    CONNECTION = "connection"  # the peer closed the connection between two messages
 
 
 MessagePart = RequestHead | ResponseHead | bytes | End
 
 
 class SwitchedConnection(NamedTuple):
-    """A connection to a node that changed its protocol: whoever gets it owns it. `early` came behind the head."""
+    """A connection to a server that has switched to another protocol. The receiver of this object owns the
+    socket. `leading_bytes` arrived behind the head of the response."""
 
     sock: socket.socket
     leading_bytes: bytes
@@ -72,7 +73,7 @@
 
 
 class HttpResponse(NamedTuple):
-    """A whole answer for a client; with a 101 goes the node's connection."""
+    """A complete response for a client; one with status 101 comes with the server's connection."""
 
     status: int
     headers: Headers
@@ -81,50 +82,51 @@
 
 
 def end_to_end(headers: Headers, fields: Fields) -> Headers:
-    """The headers that are meant for the far end; framing is each connection's own."""
-    if _NAMED.isdisjoint(fields):  # as nearly all: at most a length, and nothing for this hop by name
+    """The headers without the hop-by-hop ones and without the framing, which belong to a single connection."""
+    if _HOP_BY_HOP_EXCEPT_LENGTH.isdisjoint(fields):  # true of nearly all messages
         if b"content-length" not in fields:
             return headers
         return [pair for pair in headers if pair[0] != b"content-length"]
     kept = [pair for pair in headers if pair[0] not in HOP_BY_HOP]
-    named = [value for name, value in headers if name == b"connection"]
-    more = {name.strip().lower() for name in b",".join(named).split(b",")}
-    return [pair for pair in kept if pair[0] not in more]
+    connection = [value for name, value in headers if name == b"connection"]
+    nominated = {name.strip().lower() for name in b",".join(connection).split(b",")}
+    return [pair for pair in kept if pair[0] not in nominated]
 
 
 def check_framing(fields: Fields) -> None:
-    """Guards against answers whose end cannot be known, or is said to be where no answer's end can be.
+    """Raise Malformed on responses whose end is unknown or beyond the limit.
 
-    An answer that only the connection's end would end may have lost its tail on the way. Does harm to
-    servers that answer 200 in the style of HTTP/1.0.
+    Guards against truncated responses: one that is delimited only by the end of the connection may have lost its
+    tail on the way. Harms servers that delimit their responses in this way, as in HTTP/1.0.
     """
     length = fields.get(b"content-length")
     if length is None:
         if b"transfer-encoding" not in fields:
-            raise Malformed("an answer without a length")
+            raise Malformed("a response without a length")
     elif int(length) > MAX_BODY:
-        raise Malformed("answer too long")
+        raise Malformed("response body too long")
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """Host and port of `a.b.c.d:port`; ValueError if it is none. Names are none: there is no DNS."""
+    """Host and port of an address `a.b.c.d:port`; ValueError if it is invalid. Host names are invalid, since
+    there is no DNS."""
     host, _, port = address.rpartition(":")
     if not (port.isascii() and port.isdigit()) or int(port) >= 65536:
         raise ValueError(f"not an address: {address!r}")
     return str(IPv4Address(host)), int(port)
 
 
-def encode(first: bytes, headers: Headers, body: bytes) -> bytes:
-    """The bytes of a message: its first line, headers and body, whose length the headers tell.
+def encode(start_line: bytes, headers: Headers, body: bytes) -> bytes:
+    """The bytes of a message: start line, headers and body. The headers must include the length of the body.
 
-    Headers must come from a parsed message or be this program's own: nothing is looked at here.
+    The headers are not validated: they have to come from a parsed message or from this program.
     """
     lines = [name + b": " + value for name, value in headers]
-    return b"\r\n".join([first, *lines, b"", body])
+    return b"\r\n".join([start_line, *lines, b"", body])
 
 
 def append_part(body: bytes | bytearray, part: bytes) -> bytes | bytearray:
-    """A body with one more part. Nearly all have one only, which is not copied."""
+    """Append a part to a body. A single part, the usual case, is not copied."""
     if not body:
         return part
     if type(body) is bytes:
@@ -137,71 +139,72 @@
 
 
 class MessageParser:
-    """The parts that httptools finds on one connection, one message at a time.
+    """Splits the input of one connection into message parts, one message at a time.
 
-    Guards, besides what httptools finds wrong, against heads without end, against versions whose messages end
-    in another way, and against taking what comes behind a message for a part of it.
+    In addition to the checks of httptools, this guards against endless heads, against HTTP versions that delimit
+    messages differently, and against taking bytes behind a message for a part of it.
     """
 
-    def __init__(self, role: ParserType) -> None:
+    def __init__(self, parser_type: ParserType) -> None:
         self.parts: deque[MessagePart] = deque()
-        self.error: Malformed | None = None  # to be told after the parts
-        self.surplus = False  # more came behind the message
-        self.rest = b""  # that, where the message asks for another protocol or agrees to one
-        self._parser: Any = role(self)
-        self._requests = role is httptools.HttpRequestParser
-        self._since_part = 0  # bytes that made no part yet
-        self.begin()
-
-    def begin(self) -> None:
-        """Be ready for the next message."""
+        self.error: Malformed | None = None  # to be raised after the parts
+        self.surplus = False  # bytes have arrived behind the message
+        self.leftover = b""  # those bytes, if the message requests or confirms a change of protocol
+        self._parser: Any = parser_type(self)
+        self._parses_requests = parser_type is httptools.HttpRequestParser
+        self._bytes_since_part = 0  # bytes fed since the last part
+        self.start_message()
+
+    def start_message(self) -> None:
+        """Prepare for the next message."""
         self._target = b""
         self._headers: Headers = []
-        self.begun = self.whole = False
-        self.persistent = True  # the peer lets the connection carry another message
+        self.started = self.complete = False
+        self.persistent = True  # the peer allows the connection to be kept for another message
         self._interim = False
 
     def release(self) -> None:
-        """No more bytes will come. The parser holds this object: without it both go at once."""
+        """Drop the httptools parser after the last input. It references this object, and without the reference
+        cycle both are freed at once."""
         self._parser = None
 
     def feed(self, data: bytes) -> None:
-        """Take bytes; what they hold is in `parts`, then in `error`."""
-        if self.whole or self.error is not None:
+        """Parse bytes. The results are appended to `parts`; an error after them is stored in `error`."""
+        if self.complete or self.error is not None:
             self.surplus = True
             return
         try:
             self._parser.feed_data(data)
-        except httptools.HttpParserUpgrade as upgrade:  # it is not taken up
-            if not self._requests:
-                self.error = Malformed("an answer in another protocol")
+        except httptools.HttpParserUpgrade as upgrade:  # the parser stops here
+            if not self._parses_requests:
+                self.error = Malformed("a response in another protocol")
             self.persistent = False
-            self.rest = data[upgrade.args[0] :]
-            self.surplus = bool(self.rest)
+            self.leftover = data[upgrade.args[0] :]
+            self.surplus = bool(self.leftover)
         except httptools.HttpParserCallbackError as error:
             if not isinstance(error.__context__, Malformed):
                 raise
             self.error = error.__context__
         except httptools.HttpParserError as error:
-            self.surplus = self.whole
-            if not self.whole:
+            self.surplus = self.complete
+            if not self.complete:
                 self.error = Malformed(str(error))
-        self._since_part = 0 if self.parts else self._since_part + len(data)
-        if self._since_part > MAX_HEAD and self.error is None:
-            self.error = Malformed("a head without end", 431)
+        self._bytes_since_part = 0 if self.parts else self._bytes_since_part + len(data)
+        if self._bytes_since_part > MAX_HEAD and self.error is None:
+            self.error = Malformed("message head too long", 431)
 
     def end(self) -> End:
-        """The connection has ended."""
-        if self.begun and not self.whole:
-            raise Malformed("the connection ended inside a message")
+        """The final part at the end of the connection; Malformed if that is inside a message."""
+        if self.started and not self.complete:
+            raise Malformed("connection closed inside a message")
         return End.CONNECTION
 
-    # --- what httptools calls -------------------------------------------------------------------
+    # --- callbacks of httptools -----------------------------------------------------------------
 
     def on_message_begin(self) -> None:
-        if self.whole:
+        if self.complete:
             self.surplus = True
-        self.begun = True
+        self.started = True
 
     def on_url(self, part: bytes) -> None:
         if not self.surplus:
@@ -219,21 +222,21 @@
         version = parser.get_http_version()
         if version != "1.1":
             if version != "1.0":
-                raise Malformed("not HTTP/1.1", 505)
+                raise Malformed("unsupported HTTP version", 505)
             self.persistent = False
         if b"connection" in fields or b"transfer-encoding" in fields:
-            self._look_at_framing(headers)
-        if self._requests:
+            self._check_connection_headers(headers)
+        if self._parses_requests:
             self.parts.append(RequestHead(parser.get_method(), self._target, headers, fields))
         else:
             status = parser.get_status_code()
             self._interim = status < 200
             self.parts.append(ResponseHead(status, headers, fields))
 
-    def _look_at_framing(self, headers: Headers) -> None:
+    def _check_connection_headers(self, headers: Headers) -> None:
         for name, value in headers:
             if name == b"transfer-encoding" and value.lower() != b"chunked":
-                raise Malformed("a transfer encoding that nobody here knows", 501)
+                raise Malformed("unsupported transfer encoding", 501)
             if name == b"connection" and b"close" in value.lower():
                 self.persistent = False
 
@@ -245,7 +248,7 @@
         if self.surplus:
             return
         if self._interim:
-            self.begin()
+            self.start_message()
         else:
-            self.whole = True
+            self.complete = True
             self.parts.append(End.MESSAGE)
--- a/covetally/net/stream.py
+++ b/covetally/net/stream.py
@@ -1,7 +1,8 @@
-"""One socket and the messages that come on it, by callbacks. Both sides of the sidecar use it.
+"""A non-blocking socket with an HTTP message parser, driven by callbacks. Used for both clients and servers.
 
-The socket is this module's own, with no transport between: `send` has returned True means that the kernel has all
-the bytes, under any event loop. Nothing here waits; whoever holds a stream is called when there is news.
+The stream uses the socket directly instead of an asyncio transport, so that a `send` that returns True means,
+with any event loop, that the kernel has taken all bytes. No method blocks; the owner of a stream is notified by
+callbacks.
 """
 
 from __future__ import annotations
@@ -20,36 +21,36 @@
 
 log = logging.getLogger(__name__)
 
-MOST_READS = 4  # before a close: more than a peer that keeps to the protocol can have sent
-RECEIVE = 32 * 1024  # one read; small, since every connection may have one read waiting to be parsed
-READ_AHEAD = 16 * 1024  # reading pauses while this much waits: backpressure to the peer
-WATCH_AGAIN_S = 0.01  # where the kernel cannot watch a socket for want of memory
-ESTABLISHED = 1  # a TCP state, as Linux numbers them
-_STATE, _LAST_RECEIVED = 0, slice(52, 56)  # in Linux's `struct tcp_info`; the latter in ms,
-_TICK_NS = round(time.clock_getres(6) * 1e9)  # by CLOCK_MONOTONIC_COARSE, which has such steps
-_landing = memoryview(bytearray(RECEIVE))  # shared: filled and emptied within one callback
+MAX_DISCARD_READS = 4  # before a close: more than a peer that follows the protocol can have sent
+RECEIVE_SIZE = 32 * 1024  # per read; small, since every connection may hold one read that is not parsed yet
+READ_AHEAD = 16 * 1024  # reading pauses while this much is unparsed: backpressure on the peer
+REGISTER_RETRY_S = 0.01  # if the kernel has no memory to watch a socket
+ESTABLISHED = 1  # TCP_ESTABLISHED of Linux
+_STATE, _LAST_RECEIVED = 0, slice(52, 56)  # offsets in `struct tcp_info` of Linux; the second field is in ms,
+_TICK_NS = round(time.clock_getres(6) * 1e9)  # with the resolution of CLOCK_MONOTONIC_COARSE
+_receive_buffer = memoryview(bytearray(RECEIVE_SIZE))  # shared: filled and emptied within one callback
 _IPPROTO_TCP, _TCP_INFO, _INFO_SIZE = socket.IPPROTO_TCP, socket.TCP_INFO, _LAST_RECEIVED.stop
-_ORDER = sys.byteorder
-_RESET = struct.pack("ii", 1, 0)  # struct linger: on, for no time at all
+_BYTE_ORDER = sys.byteorder
+_RESET = struct.pack("ii", 1, 0)  # struct linger: enabled, with a timeout of 0
 
 
 def tcp_info(sock: socket.socket) -> tuple[bool, int]:
-    """What the kernel knows of a connection before the event loop does: whether it is up and neither side has
-    closed it, and for how long, in ns, what came last has been here."""
+    """Ask the kernel for the state of a connection, which the event loop may not know yet. Returns whether the
+    connection is established and closed by neither side, and how long ago, in ns, it last received data."""
     try:
         info = sock.getsockopt(_IPPROTO_TCP, _TCP_INFO, _INFO_SIZE)
     except OSError:
-        return True, 0  # nothing is known against it: what is sent or read next will tell
-    lain_ns = int.from_bytes(info[_LAST_RECEIVED], _ORDER) * 1_000_000 - _TICK_NS
-    return info[_STATE] == ESTABLISHED, lain_ns if lain_ns > 0 else 0
+        return True, 0  # unknown: the next send or receive will fail if the connection is broken
+    age_ns = int.from_bytes(info[_LAST_RECEIVED], _BYTE_ORDER) * 1_000_000 - _TICK_NS
+    return info[_STATE] == ESTABLISHED, age_ns if age_ns > 0 else 0
 
 
 def create_tcp_socket(address: tuple[str, int]) -> socket.socket:
-    """A socket for a connection to this address; OSError if there is none to be had."""
+    """Create a non-blocking socket for a connection to this address; OSError if the system has none left."""
     sock = socket.socket(socket.AF_INET6 if ":" in address[0] else socket.AF_INET)
     sock.setblocking(False)
-    # Without it the kernel keeps a last small piece back until what went before is acknowledged, which the peer
-    # may put off by 40 ms.
+    # Without TCP_NODELAY the kernel delays a last small segment until the previous data is acknowledged, which
+    # the peer may put off by 40 ms.
     try:
         sock.setsockopt(_IPPROTO_TCP, socket.TCP_NODELAY, 1)
     except OSError:
@@ -59,11 +60,11 @@
 
 
 def ignore_event() -> None:
-    """The news of a stream that nobody holds any more."""
+    """The callback of a stream whose events are of no interest."""
 
 
 class Stream:
-    """A connected socket, which it owns from `__init__` on, until `abort`.
+    """A connected socket and the parser of its input. The stream owns the socket until `abort` or `detach`.
 
     `on_input` is called after bytes or the end of the input have arrived; `on_flushed` once the kernel has taken
     all bytes that `send` had to buffer. Neither is called from within `send`, `parts` or `abort`.
@@ -71,32 +72,36 @@
 
     __slots__ = (
         "closed", "eof", "on_flushed", "on_input", "paused", "peer_checked_at", "peer_closed", "received_at",
-        "sock", "_fd", "_inbox", "_loop", "_out", "_reader",
+        "sock", "_fd", "_loop", "_parser", "_unparsed", "_unsent",
     )  # fmt: skip
 
     def __init__(
-        self, role: ParserType, sock: socket.socket, on_input: Callable[[], None], on_flushed: Callable[[], None]
+        self,
+        parser_type: ParserType,
+        sock: socket.socket,
+        on_input: Callable[[], None],
+        on_flushed: Callable[[], None],
     ) -> None:
-        self._reader = MessageParser(role)
+        self._parser = MessageParser(parser_type)
         self.sock = sock
         self.on_input, self.on_flushed = on_input, on_flushed
         self.eof = False
-        self.closed = False
-        self.peer_closed = False  # the kernel has met the end, which is still to be read
-        self.received_at = time.monotonic_ns()  # when bytes came last to this machine
-        self.peer_checked_at = self.received_at  # when the kernel was last asked whether the peer is there
-        self.paused = False  # reading has stopped: neither more bytes nor the end are seen until some are taken
-        self._inbox = b""
-        self._out: bytes | memoryview = b""  # what the kernel could not take yet
+        self.closed = False  # aborted here, detached, or broken
+        self.peer_closed = False  # the kernel has received the end of the input, which may still be unread
+        self.received_at = time.monotonic_ns()  # when this machine last received bytes
+        self.peer_checked_at = self.received_at  # when the kernel was last asked whether the peer is connected
+        self.paused = False  # reading is suspended: neither bytes nor the end are noticed until input is taken
+        self._unparsed = b""
+        self._unsent: bytes | memoryview = b""  # what the kernel could not take yet
         self._loop = asyncio.get_running_loop()
         self._fd = sock.fileno()
-        self._loop.add_reader(self._fd, self._readable)
+        self._loop.add_reader(self._fd, self._on_readable)
 
-    # --- the event loop's side ------------------------------------------------------------------
+    # --- callbacks of the event loop ------------------------------------------------------------
 
-    def _readable(self) -> None:
+    def _on_readable(self) -> None:
         try:
-            count = self.sock.recv_into(_landing)
+            count = self.sock.recv_into(_receive_buffer)
         except (BlockingIOError, InterruptedError):
             return
         except OSError as error:
@@ -105,62 +110,63 @@
             self.abort()
         else:
             if count:
-                data = bytes(_landing[:count])
-                self._inbox = self._inbox + data if self._inbox else data
-                # They may have lain in the kernel, or with their connection in the backlog, while others
-                # were served.
-                up, lain_ns = tcp_info(self.sock)
-                self.peer_closed = not up
+                data = bytes(_receive_buffer[:count])
+                self._unparsed = self._unparsed + data if self._unparsed else data
+                # The bytes may have waited in the kernel, or with their connection in the backlog, while the
+                # process was busy.
+                connected, age_ns = tcp_info(self.sock)
+                self.peer_closed = not connected
                 self.peer_checked_at = time.monotonic_ns()
-                self.received_at = self.peer_checked_at - lain_ns
-                if len(self._inbox) >= READ_AHEAD and not self.paused:
+                self.received_at = self.peer_checked_at - age_ns
+                if len(self._unparsed) >= READ_AHEAD and not self.paused:
                     self.paused = True
                     self._loop.remove_reader(self._fd)
             else:
                 self.eof = True
-                self._loop.remove_reader(self._fd)  # it would be readable for ever
+                self._loop.remove_reader(self._fd)  # the socket would stay readable forever
         try:
             self.on_input()
         except Exception:
-            self._failed(self.on_input)
+            self._on_callback_failed(self.on_input)
 
-    def _writable(self) -> None:
+    def _on_writable(self) -> None:
         try:
-            self._out = self._out[self.sock.send(self._out) :]
+            self._unsent = self._unsent[self.sock.send(self._unsent) :]
         except (BlockingIOError, InterruptedError):
             return
         except OSError as error:
             if error.errno in TRANSIENT_TRANSFER:
                 return
             self.abort()
-            told = self.on_input
+            callback = self.on_input
         else:
-            if self._out:
+            if self._unsent:
                 return
             self._loop.remove_writer(self._fd)
-            told = self.on_flushed
+            callback = self.on_flushed
         try:
-            told()
+            callback()
         except Exception:
-            self._failed(told)
+            self._on_callback_failed(callback)
 
-    def _failed(self, told: Callable[[], None]) -> None:
-        """A bug costs the connection at hand, never the process."""
+    def _on_callback_failed(self, callback: Callable[[], None]) -> None:
+        """Close this connection after a bug in a callback, and go on with the process."""
         log.exception("a connection failed by a bug")
         if not self.closed:
             self.abort()
-            told()
+            callback()
 
     # --- reading --------------------------------------------------------------------------------
 
     @property
     def ended(self) -> bool:
-        """The peer has closed or reset it, or it was closed here."""
+        """Whether the connection was closed or reset by the peer, or closed here."""
         return self.eof or self.closed
 
     def has_input(self) -> bool:
-        """Whether anything came, or the end. Looks into the kernel too: the event loop may not have yet."""
-        if self.eof or self.closed or self._inbox:
+        """Whether bytes or the end of the input have arrived. Also asks the kernel, since the event loop may not
+        have noticed yet."""
+        if self.eof or self.closed or self._unparsed:
             return True
         try:
             self.sock.recv(1, socket.MSG_PEEK)
@@ -171,76 +177,77 @@
         return True
 
     def parts(self) -> deque[MessagePart]:
-        """The parts of the peer's message that are here, to be taken from the left; empty while there are none.
-        Malformed if what came is no message, Broken if the connection was lost, both after the last part."""
-        reader = self._reader
-        parts = reader.parts
+        """The parts of the peer's message that have arrived, to be popped from the left; empty if there are none.
+        After the last part, raises Malformed if the input is not a valid message, and Broken if the connection
+        was lost."""
+        parser = self._parser
+        parts = parser.parts
         if not parts:
-            if reader.error is not None:
-                raise reader.error
-            if self._inbox:
-                data, self._inbox = self._inbox, b""
+            if parser.error is not None:
+                raise parser.error
+            if self._unparsed:
+                data, self._unparsed = self._unparsed, b""
                 if self.paused:
-                    self._go_on()
-                reader.feed(data)
-                if not parts and reader.error is not None:
-                    raise reader.error
+                    self._resume_reading()
+                parser.feed(data)
+                if not parts and parser.error is not None:
+                    raise parser.error
             elif self.eof:
-                parts.append(reader.end())
+                parts.append(parser.end())
             elif self.closed:
                 raise Broken("connection lost")
         return parts
 
-    def _go_on(self) -> None:
+    def _resume_reading(self) -> None:
         self.paused = False
         if self.eof or self.closed:
             return
         try:
-            self._loop.add_reader(self._fd, self._readable)
+            self._loop.add_reader(self._fd, self._on_readable)
         except OSError:
-            self._loop.call_later(WATCH_AGAIN_S, self._go_on)
+            self._loop.call_later(REGISTER_RETRY_S, self._resume_reading)
 
     def peek(self) -> bytes:
-        """What has come and was not read."""
-        return self._inbox
+        """The received bytes that are not parsed yet."""
+        return self._unparsed
 
     def discard_input(self) -> int:
-        """Forget what has come and was not read; how many bytes that were."""
-        data, self._inbox = self._inbox, b""
+        """Discard the received bytes that are not parsed yet; returns their number."""
+        data, self._unparsed = self._unparsed, b""
         if self.paused:
-            self._go_on()
+            self._resume_reading()
         return len(data)
 
     def peer_connected(self) -> bool:
-        """Whether the peer is still there: the kernel, asked now, has met no end that is still to be read."""
+        """Ask the kernel whether the peer is still connected: no end of the input has arrived, read or unread."""
         self.peer_closed, self.peer_checked_at = not tcp_info(self.sock)[0], time.monotonic_ns()
         return not (self.peer_closed or self.eof or self.closed)
 
     def prepare_next_message(self) -> bool:
-        """Make ready for the next message; False if this connection must not carry one."""
-        reader = self._reader
-        if self.closed or self._inbox or reader.surplus or not (reader.whole and reader.persistent):
+        """Prepare for the next message; returns False if the connection cannot be reused for one."""
+        parser = self._parser
+        if self.closed or self._unparsed or parser.surplus or not (parser.complete and parser.persistent):
             return False
-        reader.begin()
+        parser.start_message()
         return True
 
     @property
     def persistent(self) -> bool:
-        """Whether the peer lets the connection carry another message."""
-        return self._reader.persistent
+        """Whether the peer allows the connection to be kept for another message."""
+        return self._parser.persistent
 
     @property
     def leftover(self) -> bool:
-        """Whether bytes came beyond the message just read."""
-        return bool(self._inbox) or self._reader.surplus
+        """Whether bytes arrived beyond the end of the current message."""
+        return bool(self._unparsed) or self._parser.surplus
 
     # --- writing --------------------------------------------------------------------------------
 
     def send(self, data: bytes) -> bool:
         """Hand bytes to the kernel. Returns whether it has taken them all; if not, `on_flushed` is called once it
         has. Raises Broken, and closes the stream, if the connection cannot be written to."""
-        if self._out:
-            self._out = bytes(self._out) + data
+        if self._unsent:
+            self._unsent = bytes(self._unsent) + data
             return False
         if self.closed:
             raise Broken("connection lost")
@@ -255,41 +262,41 @@
             count = 0
         if count == len(data):
             return True
-        self._out = memoryview(data)[count:]
-        self._await_room()
+        self._unsent = memoryview(data)[count:]
+        self._wait_writable()
         return False
 
-    def _await_room(self) -> None:
-        """Be called when the kernel has room; where it cannot watch the socket for that now, look again soon."""
+    def _wait_writable(self) -> None:
+        """Register for the next writable event; if the kernel cannot watch the socket now, retry shortly."""
         try:
-            self._loop.add_writer(self._fd, self._writable)
+            self._loop.add_writer(self._fd, self._on_writable)
         except OSError:
-            self._loop.call_later(WATCH_AGAIN_S, self._look_for_room)
+            self._loop.call_later(REGISTER_RETRY_S, self._retry_write)
 
-    def _look_for_room(self) -> None:
-        if self.closed or not self._out:
+    def _retry_write(self) -> None:
+        if self.closed or not self._unsent:
             return
-        self._writable()
-        if self._out and not self.closed:
-            self._await_room()
+        self._on_writable()
+        if self._unsent and not self.closed:
+            self._wait_writable()
 
     @property
     def flushed(self) -> bool:
-        """Whether the kernel has all that was sent."""
-        return not self._out
+        """Whether the kernel has taken all bytes that were sent."""
+        return not self._unsent
 
     def close_write(self) -> None:
-        """Nothing more will be written: the peer reads the end."""
+        """Shut down the sending side: the peer reads the end of the input."""
         try:
             self.sock.shutdown(socket.SHUT_WR)
         except OSError:
             self.abort()
 
-    # --- the end --------------------------------------------------------------------------------
+    # --- closing --------------------------------------------------------------------------------
 
     def abort(self, reset: bool = False) -> None:
-        """Close at once; nothing is told of it. With `reset` the peer sees a reset, so that what was cut cannot
-        pass for whole."""
+        """Close at once, without a callback. With `reset` the peer receives a reset, so that it cannot take a
+        truncated message for complete."""
         if self.closed:
             return
         self.detach()
@@ -301,23 +308,24 @@
         self.sock.close()
 
     def discard_unread(self) -> None:
-        """Read and drop what came and was not read: over it a close resets the connection, and what the kernel
-        still has to send is lost with it."""
+        """Read and discard input that the kernel still holds. If a socket is closed with unread input, the kernel
+        resets the connection and drops the data that it has yet to send."""
         try:
-            for _ in range(MOST_READS):
-                if not self.sock.recv_into(_landing):
+            for _ in range(MAX_DISCARD_READS):
+                if not self.sock.recv_into(_receive_buffer):
                     return
         except OSError:
             pass
 
     def detach(self) -> tuple[socket.socket, bytes]:
-        """Give the socket away, with the bytes that were read from it and not used. To this stream it is lost."""
+        """Give up the socket; returns it with the bytes that were read from it and not used. The stream counts as
+        closed afterwards."""
         self.closed = True
         self._loop.remove_reader(self._fd)
-        if self._out:
+        if self._unsent:
             self._loop.remove_writer(self._fd)
-            self._out = b""
-        early = self._reader.rest + self._inbox if self._reader.rest else self._inbox
-        if not self._inbox:  # else what came before the end is still to be read
-            self._reader.release()
-        return self.sock, early
+            self._unsent = b""
+        unused = self._parser.leftover + self._unparsed if self._parser.leftover else self._unparsed
+        if not self._unparsed:  # otherwise the input that arrived before the close is still to be parsed
+            self._parser.release()
+        return self.sock, unused
