--- a/covetally/net/attempt.py
+++ b/covetally/net/attempt.py
@@ -289,7 +289,7 @@
         try:
             while parts := stream.parts():
                 while parts:
-                    come = self._reply.take(parts.popleft(), self._sent)
+                    come = self._reply.add_part(parts.popleft(), self._sent)
                     if come is not None:
                         self._came(come)
                         return
@@ -316,7 +316,7 @@
             self._wait(TAIL_S, self._end_tail)
             self._read_tail()
             return
-        answer, lag_ns = come.answer, self._lag_ns()
+        answer, lag_ns = come.response, self._lag_ns()
         assert answer is not None
         if answer.status == SWITCHED:
             sock, early = stream.detach()
@@ -386,7 +386,7 @@
         """It has failed: tell what that proves."""
         if self._phase is OVER:
             return
-        if how is How.RESET and self._reused and not self._reply.answered:
+        if how is How.RESET and self._reused and not self._reply.head_received:
             self._owner.broke()
         if self._verdict is not None:
             how = self._verdict
--- a/covetally/net/close_reason.py
+++ b/covetally/net/close_reason.py
@@ -1,4 +1,4 @@
-"""Why a client's connection was closed: one reason for each, counted, for operators to read."""
+"""The reasons for closing client connections, which are counted for operators."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 
 
 class CloseReason(enum.Enum):
-    """The reason with which `Client.close` is called. The value is the name that operators read."""
+    """The reason passed to `ClientConnection.close`. Operators see the value."""
 
-    CLIENT_LEFT = "client_left"  # it closed, reset, or does not take what is written to it
-    LAST_ANSWER = "last_answer"  # closed after an answer that said so
-    IDLE = "idle"  # rested for its time between requests
-    IDLE_LIMIT = "idle_limit"  # more rest than may
-    MADE_ROOM = "made_room"  # for a new connection
-    TENANT_CAP = "tenant_cap"  # its tenant may hold fewer connections
-    SHUTDOWN = "shutdown"  # the process ends
-    SLOW_READER = "slow_reader"  # its answer could not be written in time
-    BUG = "bug"
+    CLIENT_LEFT = "client_left"  # the client closed or reset the connection, or it cannot be written to
+    LAST_ANSWER = "last_answer"  # closed after a response with `Connection: close`
+    IDLE = "idle"  # the timeout between two requests, or before the first, expired
+    IDLE_LIMIT = "idle_limit"  # too many connections were idle
+    MADE_ROOM = "made_room"  # evicted for a new connection
+    TENANT_CAP = "tenant_cap"  # the connection cap of its tenant was lowered
+    SHUTDOWN = "shutdown"  # the process shuts down or drains
+    SLOW_READER = "slow_reader"  # the client did not read its response in time
+    BUG = "bug"  # an exception in this program
--- a/covetally/net/frontend.py
+++ b/covetally/net/frontend.py
@@ -197,12 +197,12 @@
 
     def _resume_after_grace(self) -> None:
         """Resume accepting when the grace period of the oldest silent new connection ends."""
-        due = self._eviction.grace_ends_at()
+        grace_ends_at = self._eviction.grace_ends_at()
         if self._grace_timer is not None:
             self._grace_timer.cancel()
             self._grace_timer = None
-        if due is not None:
-            self._grace_timer = asyncio.get_running_loop().call_at(due, self._resume_accepting)
+        if grace_ends_at is not None:
+            self._grace_timer = asyncio.get_running_loop().call_at(grace_ends_at, self._resume_accepting)
 
     def _evict(self) -> bool:
         """Close one connection to make room; returns whether there was one that may be closed (see
@@ -273,7 +273,7 @@
     @property
     def state(self) -> str:
         """The drain stage as shown to operators: serving, draining or drained."""
-        return self.drain_stage.shown
+        return self.drain_stage.public_name
 
     def start_drain(self, within_s: float | None = None) -> None:
         """Start to drain, as ordered by an operator: no connection or request is left after `within_s` seconds.
@@ -296,9 +296,9 @@
             self._drain_timer.cancel()
             self._drain_timer = None
         log.info("%s, with %d connections", self.state, len(self._clients))
-        due = self.drain_stage.due()
-        if due is not None:
-            self._drain_timer = asyncio.get_running_loop().call_at(due, self._advance_stage)
+        change_at = self.drain_stage.next_change_at()
+        if change_at is not None:
+            self._drain_timer = asyncio.get_running_loop().call_at(change_at, self._advance_stage)
 
     def _advance_stage(self) -> None:
         if self.drain_stage.advance(asyncio.get_running_loop().time()):
@@ -332,7 +332,7 @@
         began = asyncio.get_running_loop().time()
         times = times_within(within_s)
         answered_by, closed_by = began + times.answered_s, began + times.closed_s
-        self.drain_stage.end()
+        self.drain_stage.start_shutdown()
         if self._drain_timer is not None:
             self._drain_timer.cancel()
         self.sidecar.end_by(answered_by)
@@ -354,7 +354,7 @@
         for client in list(self._clients):
             client.reject_incomplete_request()
         await self._wait_all_closed(closed_by)
-        self._cut_off()
+        self._close_remaining()
 
     def _log_open(self, step: str) -> None:
         """Log the open connections by phase."""
@@ -378,7 +378,7 @@
             async with asyncio.timeout_at(deadline):
                 await self._all_gone.wait()
 
-    def _cut_off(self) -> None:
+    def _close_remaining(self) -> None:
         """Close all remaining connections."""
         if self._clients:
             log.warning("drain: %d connections cut off", len(self._clients))
--- a/covetally/net/invariants.py
+++ b/covetally/net/invariants.py
@@ -1,18 +1,18 @@
-"""Invariants of the request path, checked where they could be broken, and counted.
-
-A violation is a bug of this program and never a fault of a client, a server or the machine. It is logged with
-the id of the request and counted by its name, which operators read; where the guard can still prevent the harm
-(an attempt that must not begin) it does.
-
-    name                   checked in                    what must hold
-    ---------------------  ----------------------------  -------------------------------------------------------
-    ATTEMPT_NOT_OWED       Sidecar._submit               an attempt begins only while its request is open
-    UNSAFE_REPEAT          Sidecar._may_repeat           a request that may have run is repeated only as its class
-                                                         allows: never, or within its window
-    CLOSED_UNANSWERED      Client.close                  a connection is closed over an owed answer only once its
-                                                         client has left
-    OVERDUE                Sidecar._answer_overdue       the decision module answers every request by its deadline
-    ENDED_OWING            Frontend._cut_off               nothing is owed when the process ends
+"""Invariants of the request path, which are checked at run time; violations are counted.
+
+A violation is a bug in this program and never the fault of a client, a server or the machine. It is logged with
+the id of the request and counted by the name of the invariant. Where the check can still prevent harm, for
+example by not starting an attempt, it does.
+
+    name               checked in                 invariant
+    -----------------  -------------------------  ---------------------------------------------------------------
+    ATTEMPT_NOT_OWED   Sidecar._submit            an attempt starts only while its request is open
+    UNSAFE_REPEAT      Sidecar._may_repeat        a request that may have run is repeated only as its class
+                                                  allows: always, never, or within its window
+    CLOSED_UNANSWERED  ClientConnection.close     a connection that is owed a response is closed only if its
+                                                  client has disconnected
+    OVERDUE            Sidecar._answer_overdue    the balancer finishes every request by its deadline
+    ENDED_OWING        Frontend._close_remaining  no response is owed when the process ends
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 class Invariant(enum.Enum):
-    """See the table at the head of this module. The value is the name that operators read."""
+    """See the table at the head of this module. Operators see the value."""
 
     ATTEMPT_NOT_OWED = "attempt_not_owed"
     UNSAFE_REPEAT = "unsafe_repeat"
@@ -35,21 +35,21 @@
 
 
 class Violations:
-    """Counts violations by invariant, since the start of the process."""
+    """Counts violations by invariant since the start of the process."""
 
     def __init__(self) -> None:
         self._counts: Counter[Invariant] = Counter()
 
     def report(self, invariant: Invariant, request_id: str, detail: str) -> None:
-        """Count a violation and log it with the request's id."""
+        """Count a violation, and log it with the id of the request."""
         self._counts[invariant] += 1
         log.error("violation %s: request %s: %s", invariant.value, request_id, detail)
 
     @property
     def total(self) -> int:
-        """All violations."""
+        """The number of violations."""
         return self._counts.total()
 
     def table(self) -> dict[str, int]:
-        """Violations by the name of the invariant; those that were never broken are left out."""
+        """The number of violations by invariant name, without those that were never violated."""
         return {invariant.value: count for invariant, count in self._counts.items()}
--- a/covetally/net/request_validation.py
+++ b/covetally/net/request_validation.py
@@ -1,4 +1,4 @@
-"""The heads of requests: what servers cannot use, or might read in another way, is turned away here."""
+"""Validates the heads of requests: rejects what servers cannot process or might interpret differently."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from covetally.net.sidecar import Arrival
 
 READY_PATH = b"/_health"
-MAX_COST_NS = 60 * SECOND  # no hint of more work than this is believed
-SIMPLE_GET = re.compile(  # one whole request without a body that lets the connection be, in lower case
+MAX_COST_NS = 60 * SECOND  # larger size hints of clients are cut to this
+SIMPLE_GET = re.compile(  # one complete request without a body or connection options, in lower case
     rb"get /(?!_health)[!-~]* http/1\.1\r\n"
     rb"(?:(?!content-length|transfer-encoding|expect|connection|upgrade)[!#$%&'*+.^_`|~0-9a-z-]+:[ -~]*\r\n)+\r\n"
 )
@@ -21,38 +21,38 @@
 
 
 class Rejected(Exception):
-    """A request that cannot be taken: nothing of it is sent on."""
+    """The request is invalid or cannot be accepted; nothing of it is forwarded."""
 
     def __init__(self, status: int, reason: str) -> None:
         super().__init__(reason)
         self.status = status
 
 
-def _number(text: bytes) -> float:
-    """A number above 0, else 0: what cannot be read counts as not told."""
+def _positive_number(text: bytes) -> float:
+    """Parse a positive number; 0 if it is invalid, as if the header were missing."""
     return float(text) if _DECIMAL(text) else 0.0
 
 
-def _sid(target: bytes) -> str:
-    """What the request is about: the query's parameter `sid`, empty where it has none."""
+def _session_key(target: bytes) -> str:
+    """The key of the request: the query parameter `sid`, empty if there is none."""
     query = target.partition(b"?")[2]
     if query.startswith(b"sid=") and query[4:].isalnum():
-        return query[4:].decode("ascii")  # as nearly all are: one field, and nothing in it is quoted
+        return query[4:].decode("ascii")  # the usual case: one field without escapes
     if not query:
         return ""
     try:
         return parse_qs(query.decode("latin-1"), max_num_fields=64).get("sid", [""])[0]
-    except ValueError:  # more fields than that
+    except ValueError:  # too many fields
         return ""
 
 
 class RequestValidator:
-    """Reads the heads of requests.
+    """Validates request heads and extracts what the balancer needs.
 
-    Guards against requests that servers cannot use, or might read in another way than this sidecar: `read`
-    raises Rejected on any head that is not of the protocol's form, before its body is read. It ought to
-    catch whatever would reach a server as somebody else's request. It does harm to clients that bend the
-    form, as with a body under GET or with a class that this sidecar has not been told of.
+    Guards against requests that servers cannot process, or might interpret differently from this sidecar (request
+    smuggling): `validate` raises Rejected on every head that does not follow the protocol, before the body is
+    read. Harms clients that deviate from the protocol, for example with a body in a GET, or with a class that is
+    not configured in this sidecar.
     """
 
     def __init__(self, settings: Settings) -> None:
@@ -60,61 +60,61 @@
         self._tenants = {t.name.encode(): i for i, t in enumerate(settings.tenants)}
 
     def validate(self, head: RequestHead) -> tuple[Headers, Arrival | None, bytes]:
-        """The headers to pass on, what the module is told, and the request's id; nothing for the module where it
-        is asked whether it is ready."""
+        """The headers to forward, the parameters of the request for the balancer, and its id. The parameters are
+        None for a request of the health check."""
         method, target, raw, values = head
         if len(values) == len(raw) and HOP_BY_HOP.isdisjoint(values) and method == b"GET":
-            headers, twice = raw, b""  # as most are: no body, nothing told twice, nothing for this hop
+            headers, duplicate = raw, b""  # the usual case: no body, no duplicate and no hop-by-hop headers
         else:
-            headers, values, twice = _for_the_far_end(head)
+            headers, values, duplicate = _forwarded_headers(head)
         if target.startswith(READY_PATH) and target.partition(b"?")[0] == READY_PATH:
             return headers, None, b""
-        if twice:
-            raise Rejected(400, f"{twice.decode()} told twice")
-        find = values.get
+        if duplicate:
+            raise Rejected(400, f"{duplicate.decode()} sent more than once")
+        get = values.get
         if b"host" not in values:
-            raise Rejected(400, "no Host")
-        trace_id = find(b"x-trace-id", b"")
+            raise Rejected(400, "Host header missing")
+        trace_id = get(b"x-trace-id", b"")
         if not _TRACE_ID(trace_id):
-            raise Rejected(400, "no readable X-Trace-Id")
-        number, cls = self._classes.get(find(b"x-qos", b""), (-1, None))
+            raise Rejected(400, "X-Trace-Id missing or invalid")
+        index, cls = self._classes.get(get(b"x-qos", b""), (-1, None))
         if cls is None:
-            raise Rejected(400, "X-Qos names no class")
-        if cls.repeat == "guarded" and not find(b"idempotency-key"):
-            raise Rejected(400, "no Idempotency-Key, which this class has to have")
-        expires_s = _number(find(b"x-expires-in", b""))
+            raise Rejected(400, "X-Qos missing or not a configured class")
+        if cls.repeat == "guarded" and not get(b"idempotency-key"):
+            raise Rejected(400, "Idempotency-Key missing, which this class requires")
+        expires_s = _positive_number(get(b"x-expires-in", b""))
         if not expires_s:
-            raise Rejected(400, "X-Expires-In is not a number above 0")
-        ttl_ns, hint = int(expires_s * SECOND), find(b"x-size-hint")
+            raise Rejected(400, "X-Expires-In missing or not a positive number")
+        ttl_ns, hint = int(expires_s * SECOND), get(b"x-size-hint")
         arrival = Arrival(
-            number,
+            index,
             ttl_ns if ttl_ns < cls.deadline_ns else cls.deadline_ns,
-            min(int(_number(hint) * 1000), MAX_COST_NS) if hint else 0,
-            self._tenants.get(find(b"x-customer", b""), -1),
-            _sid(target),
-            find(b"x-second-try") == b"1",
+            min(int(_positive_number(hint) * 1000), MAX_COST_NS) if hint else 0,
+            self._tenants.get(get(b"x-customer", b""), -1),
+            _session_key(target),
+            get(b"x-second-try") == b"1",
         )
         return headers, arrival, trace_id
 
 
-def _for_the_far_end(head: RequestHead) -> tuple[Headers, Fields, bytes]:
-    """The headers to pass on, those by name, and one that is told twice, if any: each hop might believe another
-    one. Rejected on a framing that cannot be passed on."""
+def _forwarded_headers(head: RequestHead) -> tuple[Headers, Fields, bytes]:
+    """The headers to forward, the same by name, and the name of a duplicate header, if any: the next hop might
+    use the other value. Rejected if the framing cannot be forwarded."""
     method, _, raw, fields = head
     framing = {name: value for name, value in raw if name in _FRAMING}
     if len(framing) > 1:
         raise Rejected(400, "both Content-Length and Transfer-Encoding")
     if method not in (b"GET", b"POST"):
-        raise Rejected(405, "neither GET nor POST")
+        raise Rejected(405, "method is neither GET nor POST")
     if b"transfer-encoding" in framing and method == b"GET":
-        raise Rejected(400, "GET with a body")
+        raise Rejected(400, "GET request with a body")
     if int(framing.get(b"content-length", b"0")) > MAX_BODY:
-        raise Rejected(413, "body too long")
-    headers = end_to_end(raw, fields)  # Connection may name further headers that are not for the far end
-    values, twice = dict(headers), b""
+        raise Rejected(413, "request body too long")
+    headers = end_to_end(raw, fields)  # also drops the headers that Connection names
+    values, duplicate = dict(headers), b""
     if len(values) < len(headers):
         names = [name for name, _ in headers]
-        twice = next(name for name in names if names.count(name) > 1)
+        duplicate = next(name for name in names if names.count(name) > 1)
     elif method == b"GET" and framing.get(b"content-length", b"0") != b"0":
-        raise Rejected(400, "GET with a body")
-    return headers, values, twice
+        raise Rejected(400, "GET request with a body")
+    return headers, values, duplicate
--- a/covetally/net/response_reader.py
+++ b/covetally/net/response_reader.py
@@ -1,16 +1,17 @@
-"""The answer to one request, part by part. No I/O.
-
-    what has come       next part                            what it comes to
-    nothing             a head below 200                     nothing yet; MAX_INTERIM of them at most
-    nothing             200, the request is sent             BODY
-    nothing             400 to 499, the request is sent      CANCELLED: the request is at fault, its answer is 502
-    nothing             503 or 504 with X-Never-Ran          FULL, also before the request is sent
-    nothing             any other                            ERROR, once the request is sent; else Broken
-    BODY                bytes                                BODY, up to MAX_BODY
-    BODY                the end of the message               OK, with the whole answer
-    any                 the end of the connection            Broken
-
-A request for another protocol has a table of its own, in `_switched`.
+"""Classifies the response of a server to one attempt, part by part. No I/O.
+
+    received so far  next part                        result
+    ---------------  -------------------------------  -------------------------------------------------------
+    nothing          head with a status below 200     none yet; Malformed after MAX_INTERIM of them
+    nothing          200, the request is sent         none yet; Malformed without a valid length
+    nothing          400 to 499, the request is sent  CANCELLED: the request is at fault, the client gets 502
+    nothing          503 or 504 with X-Never-Ran      FULL, also before the request is sent
+    nothing          any other head                   ERROR if the request is sent, otherwise Broken
+    head of a 200    bytes                            none yet; Malformed beyond MAX_BODY
+    head of a 200    the end of the message           OK, with the complete response
+    anything         the end of the connection        Broken
+
+The response to a request for another protocol is handled by `_on_upgrade_response`.
 """
 
 from __future__ import annotations
@@ -36,95 +37,97 @@
 
 log = logging.getLogger(__name__)
 
-SERVED, SWITCHED = 200, 101
+STATUS_OK, SWITCHED = 200, 101
 NEVER_RAN_STATUS = (503, 504)
-MAX_INTERIM = 16  # 1xx answers ahead of the answer
+MAX_INTERIM = 16  # interim (1xx) responses before the final one
 
 
 class ResponseResult(NamedTuple):
-    """What an answer comes to; `answer` is there if it settles the request."""
+    """The outcome that a response proves; `response` is set if it is final for the client."""
 
     how: How
-    answer: HttpResponse | None = None
+    response: HttpResponse | None = None
 
 
 class ResponseReader:
-    """What has come of an answer."""
+    """Collects the parts of one response and determines its result."""
 
-    __slots__ = ("_body", "_head", "_interim", "_read_load", "_switch", "answered", "load")
+    __slots__ = ("_body", "_head", "_interim_count", "_read_load", "_switch", "head_received", "load")
 
     def __init__(self, request: Request, read_load: Callable[[bytes], Load]) -> None:
         self._switch = request.switch
         self._read_load = read_load
-        self._head: ResponseHead | None = None  # of an answer that is wanted
+        self._head: ResponseHead | None = None  # of a 200 response whose body is awaited
         self._body: bytes | bytearray = b""
-        self._interim = 0
-        self.answered = False  # the head of an answer has come
+        self._interim_count = 0
+        self.head_received = False  # a final head has been received
         self.load = NO_LOAD
 
-    def take(self, part: MessagePart, sent: bool) -> ResponseResult | None:
-        """The next part, where the request's last byte is sent or not; Malformed or Broken if it can be none."""
+    def add_part(self, part: MessagePart, sent: bool) -> ResponseResult | None:
+        """Process the next part and return the result once it is known. `sent` tells whether the last byte of the
+        request has been sent. Raises Malformed or Broken if the part is not valid here."""
         kind = type(part)
         if kind is bytes:
             self._body = append_part(self._body, part)
             if len(self._body) > MAX_BODY:
-                raise Malformed("answer too long")
+                raise Malformed("response body too long")
             return None
         if kind is ResponseHead:
             return self._on_head(part, sent)
         if part is not End.MESSAGE:
-            raise Broken("ended before an answer")
+            raise Broken("connection closed before the response")
         head = self._head
         assert head is not None
         return ResponseResult(
-            How.OK, HttpResponse(SERVED, end_to_end(head.headers, head.fields), bytes(self._body))
+            How.OK, HttpResponse(STATUS_OK, end_to_end(head.headers, head.fields), bytes(self._body))
         )
 
     def _on_head(self, head: ResponseHead, sent: bool) -> ResponseResult | None:
         if self._switch is not None and head.status < 500 and sent:
-            return self._switched(head, self._switch)
+            return self._on_upgrade_response(head, self._switch)
         if head.status < 200:
-            self._one_more_interim()
+            self._count_interim()
             return None
-        self.answered = True
+        self.head_received = True
         fields = head.fields
         if b"endpoint-load-metrics" in fields:
             self.load = self._read_load(fields[b"endpoint-load-metrics"])
         if sent and 400 <= head.status < 500:
-            # Guards against bad requests that pass the front's checks: the request is at fault, so another
-            # server would say the same, and this one is not to be judged by it. It ought to catch anything
-            # that a server finds wrong with a request; it would do harm where servers used 4xx for their own
-            # troubles, which then would not count against them.
-            log.warning("a server turned a request away with %d", head.status)
+            # Guards against invalid requests that pass the frontend's checks: the request is at fault, so other
+            # servers would reject it as well, and it must not count against this one. Catches everything that a
+            # server finds wrong with a request. Would do harm if servers used 4xx for failures of their own,
+            # which would not count against them.
+            log.warning("a server rejected a request with %d", head.status)
             return ResponseResult(How.CANCELLED, HttpResponse(502, []))
-        if head.status == SERVED and sent:
+        if head.status == STATUS_OK and sent:
             check_framing(fields)
             self._head = head
             return None
         if head.status in NEVER_RAN_STATUS and (b"x-never-ran", b"1") in head.headers:
             return ResponseResult(How.FULL)
         if not sent:
-            raise Broken("answered before the request was whole")
+            raise Broken("response received before the request was sent completely")
         return ResponseResult(How.ERROR)
 
-    def _switched(self, head: ResponseHead, switch: Switch) -> ResponseResult | None:
-        """The answer to a request for another protocol. One that is neither an agreement nor a refusal that is
-        the client's to hear is a 502: nothing of it may pass for the other protocol, or for an answer."""
+    def _on_upgrade_response(self, head: ResponseHead, switch: Switch) -> ResponseResult | None:
+        """The response to a request for another protocol. 101 switches, and a status of 400 or above is passed
+        on. Any other final response becomes a 502, since the client must not take it for the other protocol or
+        for a valid response."""
         if head.status == SWITCHED:
             switch.check(head)
-            self.answered = True
+            self.head_received = True
             return ResponseResult(How.OK, HttpResponse(SWITCHED, end_to_end(head.headers, head.fields)))
         if head.status < 200:
-            self._one_more_interim()
+            self._count_interim()
             return None
-        self.answered = True
-        log.warning("a server answered an upgrade with %d", head.status)
-        kept = [pair for pair in end_to_end(head.headers, head.fields) if pair[0] != b"content-type"]
+        self.head_received = True
+        log.warning("a server responded to an upgrade request with %d", head.status)
+        headers = [pair for pair in end_to_end(head.headers, head.fields) if pair[0] != b"content-type"]
         return ResponseResult(
-            How.CANCELLED, HttpResponse(head.status, kept) if head.status >= 400 else HttpResponse(502, [])
+            How.CANCELLED, HttpResponse(head.status, headers) if head.status >= 400 else HttpResponse(502, [])
         )
 
-    def _one_more_interim(self) -> None:
-        self._interim += 1
-        if self._interim > MAX_INTERIM:
-            raise Malformed("1xx answers without end")
+    def _count_interim(self) -> None:
+        self._interim_count += 1
+        if self._interim_count > MAX_INTERIM:
+            raise Malformed("too many interim responses")
--- a/covetally/net/startup_signals.py
+++ b/covetally/net/startup_signals.py
@@ -1,18 +1,21 @@
-"""SIGHUP before there is a loop to hear it. Its default ends a process, and a start takes tenths of a second:
-a platform that tells all sidecars of a new configuration also tells those that are just coming up."""
+"""Records a SIGHUP that arrives before the event loop can handle signals.
+
+The default action of SIGHUP ends the process, and a start takes tenths of a second: a platform that sends SIGHUP
+to all sidecars after a change of the configuration also reaches those that are just starting.
+"""
 
 from __future__ import annotations
 
 import signal
 
-_told: list[int] = []
+_received: list[int] = []
 
 
 def record_sighup() -> None:
-    """From here on a SIGHUP is kept until somebody asks for it."""
-    signal.signal(signal.SIGHUP, lambda number, _frame: _told.append(number))
+    """Install a signal handler that records SIGHUP."""
+    signal.signal(signal.SIGHUP, lambda number, _frame: _received.append(number))
 
 
 def sighup_received() -> bool:
-    """Whether one has come since `record_sighup`."""
-    return bool(_told)
+    """Whether a SIGHUP has arrived since `record_sighup` was called."""
+    return bool(_received)
--- a/tests/test_drain_stage.py
+++ b/tests/test_drain_stage.py
@@ -14,7 +14,7 @@
 
 def drained_at(drain: DrainStage, now: float) -> float:
     """When it is drained, going from one due moment to the next."""
-    while (due := drain.due()) is not None:
+    while (due := drain.next_change_at()) is not None:
         assert due >= now or drain.advance(now), "a stage is due in the past"
         now = max(now, due)
         drain.advance(now)
@@ -26,7 +26,7 @@
 def test_a_drain_takes_the_longest_deadline_and_a_margin_at_least(within_s, takes_s):
     drain = DrainStage()
     assert drain.drain(10.0, within_s, LONGEST_S)
-    refuses_at = drain.due()
+    refuses_at = drain.next_change_at()
     assert refuses_at is not None and takes_s - (refuses_at - 10.0) > LONGEST_S, "what was taken has its time"
     assert drained_at(drain, 10.0) == pytest.approx(10.0 + takes_s)
 
@@ -43,7 +43,7 @@
 def test_what_starts_under_an_order_holds_nothing_from_the_beginning():
     drain = DrainStage()
     drain.restore()
-    assert drain.stage is Stage.DRAINED and drain.refusing and drain.due() is None
+    assert drain.stage is Stage.DRAINED and drain.refusing and drain.next_change_at() is None
     assert drain.resume() and drain.stage is Stage.SERVING and not drain.refusing
 
 
@@ -67,7 +67,7 @@
                     pass
         if word in ("drain", "quick", "restore"):
             assert drain.draining
-    drain.end()
+    drain.start_shutdown()
     for change in (drain.resume, drain.restore, lambda: drain.drain(now, None, LONGEST_S)):
         change()
-        assert drain.stage is Stage.ENDING and drain.due() is None and not drain.refusing
+        assert drain.stage is Stage.ENDING and drain.next_change_at() is None and not drain.refusing
