--- a/covetally/net/drain_stage.py
+++ b/covetally/net/drain_stage.py
@@ -2,7 +2,7 @@
 
     stage     connections and requests                                       next stage
     --------  -------------------------------------------------------------  -------------------------------------
-    SERVING   all are served                                                 DRAINING, DRAINED by `restore`, ENDING
+    SERVING   all are served                                                 DRAINING, DRAINED at start, ENDING
     DRAINING  all are served; each response is the last on its connection,   REFUSING in time, SERVING, ENDING
               silent connections are closed, the health check returns 503
     REFUSING  new requests are refused, those accepted before are completed  DRAINED in time, SERVING, ENDING
--- a/tests/crossings/test_leaving.py
+++ b/tests/crossings/test_leaving.py
@@ -1,5 +1,5 @@
-"""A client leaves while its request is under way: nothing is sent on for it any more, whatever the request was
-waiting for, and all that it held is free again."""
+"""A client disconnects while its request is in progress: whatever the request is waiting for, nothing more is
+sent to a server, and all its resources are released."""
 
 from __future__ import annotations
 
@@ -25,11 +25,11 @@
 from tests.support import MS
 
 NEVER_RAN = response(b"", b"503 Busy", b"X-Never-Ran: 1")
-WAYS = ("end", "reset", "half")
+WAYS_TO_LEAVE = ("end", "reset", "half")
 
 
 def leave(sock: socket.socket, way: str) -> None:
-    """As a client may: it closes, or resets, or ends its sending and reads on."""
+    """Disconnect in one of the ways of a client: close, reset, or half-close and go on reading."""
     if way == "half":
         sock.shutdown(socket.SHUT_WR)
         return
@@ -38,42 +38,42 @@
     sock.close()
 
 
-def client(here: SidecarHarness) -> socket.socket:
-    sock = socket.create_connection(here.address)
+def connect_client(harness: SidecarHarness) -> socket.socket:
+    sock = socket.create_connection(harness.address)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     return sock
 
 
-def nothing_is_held(here: SidecarHarness) -> bool:
-    """Of requests, attempts, places in the queue and budgets."""
-    book = here.balancer.book
+def all_released(harness: SidecarHarness) -> bool:
+    """Whether no request, attempt, queue entry or budget is in use."""
+    book = harness.balancer.book
     return not (
-        here.sidecar._calls or book.calls or book.held or book.attempts or here.frontend._clients
+        harness.sidecar._calls or book.calls or book.held or book.attempts or harness.frontend._clients
         or any(server.inflight for server in book.servers.values())
-        or any(server.unsent for server in here.upstream._servers.values())
+        or any(server.unsent for server in harness.upstream._servers.values())
     )  # fmt: skip
 
 
-async def warm(here: SidecarHarness) -> None:
-    """Have a connection at rest to each server, so that a request goes out in the moment it is submitted."""
+async def open_idle_connections(harness: SidecarHarness) -> None:
+    """Open an idle connection to each server, so that a request is sent as soon as it is submitted."""
     number = 0
-    while not all(server.idle for server in here.upstream._servers.values()):
+    while not all(server.idle for server in harness.upstream._servers.values()):
         names = [f"warm{number}-{i}" for i in range(4)]
-        await asyncio.gather(*(here.status(request(name)) for name in names))
+        await asyncio.gather(*(harness.status(request(name)) for name in names))
         number += 1
         await asyncio.sleep(0.01)
-    for server in here.servers.values():
+    for server in harness.servers.values():
         server.requests.clear()
 
 
-async def hang(server, got, reader, writer):
+async def hang(server, received, reader, writer):
     await asyncio.Event().wait()
 
 
 @asynccontextmanager
-async def slow_to_accept(here: SidecarHarness, name: str, listed: bool = True) -> AsyncIterator[list[bytes]]:
-    """A server to which connections come up only when this ends: its accept queue is full until then. Gives what
-    was written to it. It is listed there at once, or when the test says so."""
+async def slow_to_accept(harness: SidecarHarness, name: str, listed: bool = True) -> AsyncIterator[list[bytes]]:
+    """A server that accepts connections only when this context ends: its accept queue is full until then. Yields
+    a list that afterwards has what was written to it. With `listed` it is on the server list at once."""
     listener = socket.create_server(("127.0.0.1", 0), backlog=0)
     fillers = []
     for _ in range(2):
@@ -82,208 +82,209 @@
         filler.connect_ex(listener.getsockname())
         fillers.append(filler)
     await asyncio.sleep(0.02)
-    here.servers[name].address = listener.getsockname()
+    harness.servers[name].address = listener.getsockname()
     if listed:
-        here.update_servers(here.servers)
-    got: list[bytes] = []
+        harness.update_servers(harness.servers)
+    written: list[bytes] = []
     try:
-        yield got
+        yield written
     finally:
         listener.setblocking(False)
-        end = time.monotonic() + 1.5  # the kernel asks again after a second
-        taken = []
+        end = time.monotonic() + 1.5  # the kernel retransmits the SYN after a second
+        accepted = []
         while time.monotonic() < end:
             try:
                 sock, _ = listener.accept()
                 sock.setblocking(False)
-                taken.append(sock)
+                accepted.append(sock)
             except BlockingIOError:
                 await asyncio.sleep(0.01)
-        for sock in taken:
+        for sock in accepted:
             with suppress(BlockingIOError, ConnectionError):
-                got.append(sock.recv(65536))
+                written.append(sock.recv(65536))
             sock.close()
         for sock in (*fillers, listener):
             sock.close()
 
 
-@pytest.mark.parametrize("way", WAYS)
-def test_while_it_is_held_in_order(way):
+@pytest.mark.parametrize("way", WAYS_TO_LEAVE)
+def test_leaving_while_the_request_is_queued(way):
     async def main():
-        async with sidecar_harness(hang) as here:
-            first, trial, waits = client(here), client(here), client(here)  # its budget, and one call as a trial
+        async with sidecar_harness(hang) as harness:
+            # The first request uses up the server's budget, the second is its probe, and the third has to wait.
+            first, probe, queued = connect_client(harness), connect_client(harness), connect_client(harness)
             first.send(request("first"))
-            trial.send(request("trial"))
-            await wait_until(lambda: len(here.servers["s0"].requests) == 2)
-            waits.send(request("waits"))
-            await wait_until(lambda: here.balancer.book.held)
-            leave(waits, way)
-            await wait_until(lambda: not here.balancer.book.held)
+            probe.send(request("probe"))
+            await wait_until(lambda: len(harness.servers["s0"].requests) == 2)
+            queued.send(request("queued"))
+            await wait_until(lambda: harness.balancer.book.held)
+            leave(queued, way)
+            await wait_until(lambda: not harness.balancer.book.held)
             leave(first, "end")
-            leave(trial, "end")
-            await wait_until(lambda: nothing_is_held(here))
+            leave(probe, "end")
+            await wait_until(lambda: all_released(harness))
             await asyncio.sleep(0.05)
-            assert len(here.servers["s0"].requests) == 2
-            waits.close()
+            assert len(harness.servers["s0"].requests) == 2
+            queued.close()
 
     asyncio.run(main())
 
 
-@pytest.mark.parametrize("way", WAYS)
-def test_while_its_connection_comes_up(way):
+@pytest.mark.parametrize("way", WAYS_TO_LEAVE)
+def test_leaving_while_the_connection_to_the_server_is_being_opened(way):
     limits = {"maxAttempts": 4, "connectTimeoutNs": 3_000 * MS}
 
     async def main():
-        async with sidecar_harness(respond_ok, limits=limits) as here:
-            async with slow_to_accept(here, "s0") as got:
-                asks = client(here)
-                asks.send(request("gone", expires="5"))
-                await wait_until(lambda: here.upstream.connections == 1)
-                leave(asks, way)
-                await wait_until(lambda: nothing_is_held(here))
-                assert here.upstream.connections == 0
-                asks.close()
-            assert not any(got), "the connection came up for nobody"
+        async with sidecar_harness(respond_ok, limits=limits) as harness:
+            async with slow_to_accept(harness, "s0") as written:
+                client = connect_client(harness)
+                client.send(request("gone", expires="5"))
+                await wait_until(lambda: harness.upstream.connections == 1)
+                leave(client, way)
+                await wait_until(lambda: all_released(harness))
+                assert harness.upstream.connections == 0
+                client.close()
+            assert not any(written), "the connection was completed for nobody"
 
     asyncio.run(main())
 
 
-@pytest.mark.parametrize("way", WAYS)
+@pytest.mark.parametrize("way", WAYS_TO_LEAVE)
 @pytest.mark.parametrize("state", ["settling", "holding"])
-def test_while_a_kept_connection_is_not_trusted_yet(way, state, monkeypatch):
+def test_leaving_while_a_reused_connection_is_still_being_verified(way, state, monkeypatch):
     if state == "settling":
         monkeypatch.setattr(upstream, "SETTLE_S", 0.3)
     else:
         monkeypatch.setattr(upstream, "WARY_HOLD_BACK_S", 0.3)
 
     async def main():
-        async with sidecar_harness(respond_ok) as here:
-            assert await here.status(request("one")) == 200
-            here.upstream.broke()
-            asks = client(here)
-            asks.send(request("gone"))
-            await wait_until(lambda: here.sidecar._calls)
+        async with sidecar_harness(respond_ok) as harness:
+            assert await harness.status(request("one")) == 200
+            harness.upstream.broke()
+            client = connect_client(harness)
+            client.send(request("gone"))
+            await wait_until(lambda: harness.sidecar._calls)
             await asyncio.sleep(0.02)
-            leave(asks, way)
-            await wait_until(lambda: nothing_is_held(here))
+            leave(client, way)
+            await wait_until(lambda: all_released(harness))
             await asyncio.sleep(0.4)
-            assert len(here.servers["s0"].requests) == 1
-            asks.close()
+            assert len(harness.servers["s0"].requests) == 1
+            client.close()
 
     asyncio.run(main())
 
 
-@pytest.mark.parametrize("way", WAYS)
-@pytest.mark.parametrize("more", [0, 200_000])
-def test_while_it_waits_for_an_answer_with_bytes_behind_its_request_or_none(way, more):
-    """With much behind a request reading stopped, and the client was not seen to leave: its attempt went on, and
-    was tried again."""
+@pytest.mark.parametrize("way", WAYS_TO_LEAVE)
+@pytest.mark.parametrize("extra_bytes", [0, 200_000])
+def test_leaving_while_the_response_is_awaited(way, extra_bytes):
+    """With many bytes sent behind a request, reading was paused, and the disconnect went unnoticed: the attempt
+    went on and was retried."""
 
     async def main():
-        gone = asyncio.Event()
+        left = asyncio.Event()
 
-        async def turn_away(server, got, reader, writer):
-            await gone.wait()
+        async def reject(server, received, reader, writer):
+            await left.wait()
             await asyncio.sleep(0.2)
             writer.write(NEVER_RAN)
 
-        async with sidecar_harness(turn_away, turn_away) as here:
-            asks = client(here)
-            asks.send(request("gone"))
-            await wait_until(lambda: any(server.requests for server in here.servers.values()))
-            if more:
-                asks.setblocking(False)
-                left = more
-                while left:
+        async with sidecar_harness(reject, reject) as harness:
+            client = connect_client(harness)
+            client.send(request("gone"))
+            await wait_until(lambda: any(server.requests for server in harness.servers.values()))
+            if extra_bytes:
+                client.setblocking(False)
+                remaining = extra_bytes
+                while remaining:
                     try:
-                        left -= asks.send(b"x" * min(left, 8192))
+                        remaining -= client.send(b"x" * min(remaining, 8192))
                     except BlockingIOError:
                         await asyncio.sleep(0.002)
-            leave(asks, way)
-            gone.set()
-            await wait_until(lambda: nothing_is_held(here))
+            leave(client, way)
+            left.set()
+            await wait_until(lambda: all_released(harness))
             await asyncio.sleep(0.4)
-            assert sum(len(server.requests) for server in here.servers.values()) == 1
-            asks.close()
+            assert sum(len(server.requests) for server in harness.servers.values()) == 1
+            client.close()
 
     asyncio.run(main())
 
 
-def test_bytes_behind_a_request_end_its_connection_after_the_answer():
-    """They are no request, and none of them may be taken for the start of one."""
+def test_bytes_behind_a_request_close_its_connection_after_the_response():
+    """They must not be taken for the start of another request."""
 
     async def main():
         release = asyncio.Event()
 
-        async def wait(server, got, reader, writer):
+        async def respond_when_released(server, received, reader, writer):
             await release.wait()
-            await respond_ok(server, got, reader, writer)
+            await respond_ok(server, received, reader, writer)
 
-        async with sidecar_harness(wait) as here:
-            reader, writer = await here.connect()
+        async with sidecar_harness(respond_when_released) as harness:
+            reader, writer = await harness.connect()
             writer.write(request("kept"))
-            await wait_until(lambda: here.servers["s0"].requests)
+            await wait_until(lambda: harness.servers["s0"].requests)
             writer.write(b"x" * 100_000 + request("hidden"))
             await writer.drain()
             release.set()
-            got = await read_message(reader)
-            assert got.endswith(b"for kept") and b"connection: close" in got.lower()
+            last = await read_message(reader)
+            assert last.endswith(b"for kept") and b"connection: close" in last.lower()
             assert await reader.read() == b""
-            assert len(here.servers["s0"].requests) == 1
+            assert len(harness.servers["s0"].requests) == 1
             writer.close()
 
     asyncio.run(main())
 
 
-@pytest.mark.parametrize("way", WAYS)
-def test_while_the_loop_is_late(way):
-    """The answer that calls for another attempt is read before the client's end, which came before that."""
+@pytest.mark.parametrize("way", WAYS_TO_LEAVE)
+def test_leaving_while_the_event_loop_is_late(way):
+    """The response that causes a retry is read before the client's disconnect, which arrived earlier."""
 
     async def main():
-        asks = socket.socket()
+        client = socket.socket()
 
-        async def turn_away(server, got, reader, writer):
+        async def reject(server, received, reader, writer):
             writer.write(NEVER_RAN)
-            leave(asks, way)
-            time.sleep(0.2)  # all in this process: the sidecar finds both when it runs again, the answer first
-
-        async with sidecar_harness(respond_ok, respond_ok) as here:
-            await warm(here)
-            for server in here.servers.values():
-                server.script = turn_away
-            asks.connect(here.address)
-            asks.send(request("gone"))
-            await wait_until(lambda: any(server.requests for server in here.servers.values()))
-            await wait_until(lambda: nothing_is_held(here))
+            leave(client, way)
+            time.sleep(0.2)  # blocks the sidecar, which then finds both, the response first
+
+        async with sidecar_harness(respond_ok, respond_ok) as harness:
+            await open_idle_connections(harness)
+            for server in harness.servers.values():
+                server.script = reject
+            client.connect(harness.address)
+            client.send(request("gone"))
+            await wait_until(lambda: any(server.requests for server in harness.servers.values()))
+            await wait_until(lambda: all_released(harness))
             await asyncio.sleep(0.1)
-            assert sum(len(server.requests) for server in here.servers.values()) == 1
-            asks.close()
+            assert sum(len(server.requests) for server in harness.servers.values()) == 1
+            client.close()
 
     asyncio.run(main())
 
 
-def test_a_request_whose_turn_comes_late_is_not_sent_on_for_a_client_that_left(monkeypatch):
-    """What has lain here waits for its turn, and its client may leave meanwhile."""
+def test_a_request_that_is_read_late_is_not_sent_for_a_client_that_left(monkeypatch):
+    """Input that has waited is queued for reading, and its client may disconnect in the meantime."""
     monkeypatch.setattr("covetally.net.read_scheduler.READ_AT_ONCE_NS", -1)
     monkeypatch.setattr("covetally.net.client_connection.PEER_CHECK_VALID_NS", 0)
 
     async def main():
-        async with sidecar_harness(respond_ok) as here:
-            await warm(here)
-            asks = client(here)
-            due, found = here.frontend.read_scheduler.may_read_now, []
-
-            def late(connection):
-                found.append(due(connection))
-                leave(asks, "end")  # after it was read, before its turn
-                return found[-1]
-
-            here.frontend.read_scheduler.may_read_now = late
-            asks.send(request("gone"))
-            await wait_until(lambda: found)
-            assert found[0] is False
-            await wait_until(lambda: nothing_is_held(here))
+        async with sidecar_harness(respond_ok) as harness:
+            await open_idle_connections(harness)
+            client = connect_client(harness)
+            may_read_now, results = harness.frontend.read_scheduler.may_read_now, []
+
+            def leave_while_queued(connection):
+                results.append(may_read_now(connection))
+                leave(client, "end")  # after the input was received, before it is parsed
+                return results[-1]
+
+            harness.frontend.read_scheduler.may_read_now = leave_while_queued
+            client.send(request("gone"))
+            await wait_until(lambda: results)
+            assert results[0] is False
+            await wait_until(lambda: all_released(harness))
             await asyncio.sleep(0.05)
-            assert not here.servers["s0"].requests
+            assert not harness.servers["s0"].requests
 
     asyncio.run(main())
--- a/tests/crossings/test_retrying.py
+++ b/tests/crossings/test_retrying.py
@@ -91,7 +91,7 @@
             here.update_servers({"s0": slow})
             async with slow_to_accept(here, "s0", listed=False) as got:
                 here.update_servers({"s0": slow})
-                asks = asyncio.create_task(here.ask(request("r1")))
+                asks = asyncio.create_task(here.exchange(request("r1")))
                 await wait_until(lambda: here.upstream.connections)
                 here.update_servers({"s1": other}, "INCREMENTAL")
                 here.update_servers({"s0": slow}, "INCREMENTAL", "draining")
--- a/tests/incidents/test_crowd.py
+++ b/tests/incidents/test_crowd.py
@@ -1,6 +1,6 @@
-"""A crowd of idle connections: whoever has just connected is given the moment that a request takes to come.
+"""A burst of idle connections must not evict clients that have just connected and are about to send a request.
 
-One sidecar with few places for clients. Many idle connections and some clients that send at once come together.
+One sidecar with a low connection limit; many idle connections and some clients that send at once arrive together.
 """
 
 from __future__ import annotations
@@ -16,57 +16,59 @@
 from tests.loopback import TEST_TIMEOUT_S, read_message
 from tests.test_standing import get
 
-SOCKETS = 256
+SOCKET_LIMIT = 256
 CLIENTS = 16
-CROWDS = (150, 400)  # idle connections, one crowd after the other
-SEND_AFTER_S = 0.01  # a client that has connected sends
-PROMPT_S = 0.8 * FIRST_REQUEST_GRACE_S  # whoever sent so soon after it began to connect must be answered
-PROMPT_CLIENTS = 3 * CLIENTS  # so many of them are wanted; others were held up by this machine
+BURST_SIZES = (150, 400)  # idle connections, in alternating bursts
+SEND_AFTER_S = 0.01  # delay between connecting and sending
+PROMPT_S = 0.8 * FIRST_REQUEST_GRACE_S  # a client that sent within this time from its connect must get a response
+PROMPT_CLIENTS = 3 * CLIENTS  # number of such clients that are needed; the others were delayed by this machine
 
 
 @dataclass
-class Asked:
-    """A first request: how long after its client began to connect it was sent, and what came back."""
+class FirstRequest:
+    """The first request of a client: how long after the start of the connect it was sent, and the response."""
 
     sent_after_s: float
     response: bytes
 
 
-def crowd(address: tuple[str, int], count: int) -> list[socket.socket]:
-    """So many connections that say nothing."""
+def open_connections(address: tuple[str, int], count: int) -> list[socket.socket]:
+    """Open connections that send nothing."""
     return [socket.create_connection(address) for _ in range(count)]
 
 
-async def ask(address: tuple[str, int], name: str) -> Asked:
-    """Connect, and send shortly after; the answer is empty where the connection was closed without one."""
-    began = time.monotonic()
+async def send_first_request(address: tuple[str, int], name: str) -> FirstRequest:
+    """Connect, and send a request shortly after; the response is empty if the connection was closed before it."""
+    started_at = time.monotonic()
     reader, writer = await asyncio.open_connection(*address)
     try:
         await asyncio.sleep(SEND_AFTER_S)
         writer.write(get(name))
-        sent_after_s = time.monotonic() - began
-        return Asked(sent_after_s, await read_message(reader))
+        sent_after_s = time.monotonic() - started_at
+        return FirstRequest(sent_after_s, await read_message(reader))
     except (asyncio.IncompleteReadError, ConnectionError):
-        return Asked(sent_after_s, b"")
+        return FirstRequest(sent_after_s, b"")
     finally:
         writer.close()
 
 
-def test_a_first_request_is_answered_though_a_crowd_of_idle_connections_comes_with_it():
+def test_a_first_request_is_answered_during_a_burst_of_idle_connections():
     async def main():
-        shape = Shape(nodes=2, instances=1, sockets=SOCKETS)
+        shape = Shape(nodes=2, instances=1, sockets=SOCKET_LIMIT)
         async with asyncio.timeout(2 * TEST_TIMEOUT_S), World(shape) as world:
             await world.start_instances()
             address = world.instances["a0"].address
-            prompt: list[Asked] = []
-            for turn in itertools.count():
-                clients = [asyncio.create_task(ask(address, f"c{turn}-{i}")) for i in range(CLIENTS)]
-                idlers = await asyncio.to_thread(crowd, address, CROWDS[turn % len(CROWDS)])
-                prompt += [asked for asked in await asyncio.gather(*clients) if asked.sent_after_s < PROMPT_S]
-                for idler in idlers:
-                    idler.close()
-                assert [asked for asked in prompt if b" 200 " not in asked.response] == []
-                if len(prompt) >= PROMPT_CLIENTS and turn >= len(CROWDS):
+            prompt: list[FirstRequest] = []
+            for burst in itertools.count():
+                clients = [
+                    asyncio.create_task(send_first_request(address, f"c{burst}-{i}")) for i in range(CLIENTS)
+                ]
+                idle = await asyncio.to_thread(open_connections, address, BURST_SIZES[burst % len(BURST_SIZES)])
+                prompt += [first for first in await asyncio.gather(*clients) if first.sent_after_s < PROMPT_S]
+                for sock in idle:
+                    sock.close()
+                assert [first for first in prompt if b" 200 " not in first.response] == []
+                if len(prompt) >= PROMPT_CLIENTS and burst >= len(BURST_SIZES):
                     break
 
     asyncio.run(main())
--- a/tests/incidents/test_guards.py
+++ b/tests/incidents/test_guards.py
@@ -1,4 +1,4 @@
-"""The run-time guards of the request path: a planted bug is stopped where it can be, counted, and named."""
+"""The run-time checks of the request path: an injected bug is stopped where possible, counted, and logged."""
 
 from __future__ import annotations
 
@@ -16,53 +16,53 @@
 from tests.support import MS
 
 
-async def cut(server, got, reader, writer) -> None:
-    """The script of a server that runs each request and resets its connection."""
+async def reset_connection(server, received, reader, writer) -> None:
+    """The script of a server that receives each request and resets the connection."""
     writer.transport.abort()
 
 
-def test_a_repeat_that_the_decisions_want_against_the_rule_does_not_begin(monkeypatch, caplog):
+def test_an_unsafe_retry_requested_by_the_balancer_is_not_started(monkeypatch, caplog):
     monkeypatch.setattr(way, "may_go", lambda b, now, call, server: True)
 
     async def main():
-        async with sidecar_harness(cut, cut) as here:
-            assert await here.status(request("pays", "pay", b"x")) in (502, 503)
-            got = [data for server in here.servers.values() for data in server.requests]
-            assert len(got) == 1
-            assert set(here.sidecar.violations.table()) == {"unsafe_repeat"}
+        async with sidecar_harness(reset_connection, reset_connection) as harness:
+            assert await harness.status(request("pays", "pay", b"x")) in (502, 503)
+            received = [data for server in harness.servers.values() for data in server.requests]
+            assert len(received) == 1
+            assert set(harness.sidecar.violations.table()) == {"unsafe_repeat"}
             assert "request pays: attempt 1 at" in caplog.text
 
     asyncio.run(main())
 
 
-def test_a_close_over_an_owed_answer_is_counted_unless_its_client_left():
+def test_a_close_without_a_response_is_a_violation_unless_the_client_left():
     async def main():
-        hold = asyncio.Event()
+        release = asyncio.Event()
 
-        async def wait(server, got, reader, writer):
-            await hold.wait()
+        async def hang(server, received, reader, writer):
+            await release.wait()
 
-        async with sidecar_harness(wait) as here:
+        async with sidecar_harness(hang) as harness:
             for reason in (CloseReason.CLIENT_LEFT, CloseReason.IDLE):
-                asks = asyncio.create_task(here.status(request(reason.value)))
-                await wait_until(lambda: here.sidecar.open == 1)
-                (client,) = here.frontend._clients
+                status = asyncio.create_task(harness.status(request(reason.value)))
+                await wait_until(lambda: harness.sidecar.open == 1)
+                (client,) = harness.frontend._clients
                 client.close(reason)
-                assert await asks == 0
-            assert here.sidecar.violations.table() == {"closed_unanswered": 1}
-            assert here.frontend.closed == {CloseReason.CLIENT_LEFT: 1, CloseReason.IDLE: 1}
-            hold.set()
+                assert await status == 0
+            assert harness.sidecar.violations.table() == {"closed_unanswered": 1}
+            assert harness.frontend.closed == {CloseReason.CLIENT_LEFT: 1, CloseReason.IDLE: 1}
+            release.set()
 
     asyncio.run(main())
 
 
-def test_each_attempt_and_each_answer_is_logged_with_the_id_where_that_is_asked_for(caplog):
+def test_tracing_logs_each_attempt_and_each_response_with_the_request_id(caplog):
     async def main():
-        async with sidecar_harness(respond_ok) as here:
-            here.sidecar.tracing = True
+        async with sidecar_harness(respond_ok) as harness:
+            harness.sidecar.tracing = True
             with caplog.at_level(logging.DEBUG):
-                assert await here.status(request("seen")) == 200
-                await wait_until(lambda: not here.frontend.connections)
+                assert await harness.status(request("seen")) == 200
+                await wait_until(lambda: not harness.frontend.connections)
         assert "request seen: attempt 0 at s0" in caplog.text
         assert "request seen: attempt 0 ended: OK" in caplog.text
         assert "connection closed: client_left; its last request: b'seen'" in caplog.text
@@ -71,7 +71,7 @@
 
 
 @pytest.mark.parametrize(
-    "repeat, out, ran_ago_ms, allowed",
+    "repeat, outstanding, ran_ago_ms, allowed",
     [
         ("free", 1, 900, True),
         ("single_shot", 0, 0, True),
@@ -83,31 +83,31 @@
         ("guarded", 0, 400, False),
     ],
 )
-def test_what_may_be_repeated(repeat, out, ran_ago_ms, allowed):
+def test_may_repeat_follows_the_repeat_mode_of_the_class(repeat, outstanding, ran_ago_ms, allowed):
     cls = RequestClass("c", 300 * MS, 1_000 * MS, repeat=repeat, window_ns=400 * MS)
     now = 1_000_000 * MS
-    assert may_repeat(cls, out, now - ran_ago_ms * MS if ran_ago_ms else 0, now) is allowed
+    assert may_repeat(cls, outstanding, now - ran_ago_ms * MS if ran_ago_ms else 0, now) is allowed
 
 
-def test_the_end_fits_into_the_time_before_sigkill_at_every_deadline():
+def test_the_shutdown_times_fit_before_sigkill_for_every_deadline():
     for longest_ms in (1, 50, 200, 1_000, 3_000, 5_000, 60_000):
         times = shutdown_times(longest_ms / 1000)
         assert 0 <= times.accepting_s <= times.answered_s < times.closed_s
-        assert times.closed_s + 0.15 < min(longest_ms / 1000, 3.0) + 0.7, "with a process that is held up"
+        assert times.closed_s + 0.15 < min(longest_ms / 1000, 3.0) + 0.7, "with a margin for a delayed process"
 
 
-def test_an_end_cannot_be_taken_back_by_an_operator_s_word():
-    """A worker that was told to serve again while it ended let clients keep their connections."""
+def test_a_shutdown_cannot_be_undone_by_an_operator():
+    """A worker that was ordered to serve again during its shutdown let clients keep their connections."""
 
     async def main():
-        async with sidecar_harness(respond_ok) as here:
-            held = await here.connect()
-            draining = asyncio.create_task(here.frontend.shut_down(2.0))
+        async with sidecar_harness(respond_ok) as harness:
+            connection = await harness.connect()
+            shutdown = asyncio.create_task(harness.frontend.shut_down(2.0))
             await asyncio.sleep(0)
-            here.frontend.resume()
-            held[1].write(request("late"))
-            assert b"connection: close" in (await held[0].readuntil(b"\r\n\r\n")).lower()
-            held[1].close()
-            await draining
+            harness.frontend.resume()
+            connection[1].write(request("late"))
+            assert b"connection: close" in (await connection[0].readuntil(b"\r\n\r\n")).lower()
+            connection[1].close()
+            await shutdown
 
     asyncio.run(main())
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -1,4 +1,5 @@
-"""A whole sidecar in this process, with scripted servers and plain sockets for clients, all on loopback."""
+"""A test harness: a complete sidecar in this process with scripted servers and plain client sockets, on
+loopback."""
 
 from __future__ import annotations
 
@@ -16,13 +17,13 @@
 from covetally.net.upstream import Upstream
 from tests.support import settings
 
-TEST_TIMEOUT_S = 20.0  # a test that waits so long has failed; none should come near it
+TEST_TIMEOUT_S = 20.0  # a test that takes longer fails; none should come close
 
 Script = Callable[["ScriptedServer", bytes, asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 
 
 def response(body: bytes = b"fine", status: bytes = b"200 OK", *headers: bytes) -> bytes:
-    """An answer with a length."""
+    """Encode a response with a Content-Length."""
     lines = [b"HTTP/1.1 " + status, b"Content-Length: %d" % len(body), *headers]
     return b"\r\n".join(lines) + b"\r\n\r\n" + body
 
@@ -36,7 +37,7 @@
     method: str = "",
     length: str | None = None,
 ) -> bytes:
-    """A client's request; safe classes are asked with GET."""
+    """Encode a client's request; the method is GET for the class `look`, which is safe to repeat, else POST."""
     method = method or ("GET" if cls == "look" else "POST")
     lines = [f"{method} /api?sid=k HTTP/1.1", "Host: app", f"X-Qos: {cls}", f"X-Expires-In: {expires}"]
     if trace:
@@ -47,7 +48,7 @@
 
 
 async def read_message(reader: asyncio.StreamReader) -> bytes:
-    """One message with a length: head and body; IncompleteReadError at the end of the connection."""
+    """Read one message with a Content-Length, head and body; IncompleteReadError at the end of the connection."""
     head = await reader.readuntil(b"\r\n\r\n")
     length = 0
     for line in head.lower().split(b"\r\n"):
@@ -57,15 +58,17 @@
 
 
 async def respond_ok(
-    server: ScriptedServer, got: bytes, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    server: ScriptedServer, received: bytes, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
 ) -> None:
-    """The script of a server in good health: the body it gives back names the request."""
-    trace = next(x.partition(b":")[2].strip() for x in got.split(b"\r\n") if x.startswith(b"x-trace-id"))
+    """The script of a healthy server: responds with 200 and the request's id in the body."""
+    trace = next(
+        line.partition(b":")[2].strip() for line in received.split(b"\r\n") if line.startswith(b"x-trace-id")
+    )
     writer.write(response(b"for " + trace))
 
 
 class ScriptedServer:
-    """A server that does as its script says with each request; `requests` has them all."""
+    """A server that runs its script for each request and records all of them in `requests`."""
 
     def __init__(self, script: Script) -> None:
         self.script = script
@@ -84,9 +87,9 @@
         self._writers.add(writer)
         try:
             while True:
-                got = await read_message(reader)
-                self.requests.append(got)
-                await self.script(self, got, reader, writer)
+                received = await read_message(reader)
+                self.requests.append(received)
+                await self.script(self, received, reader, writer)
                 await writer.drain()
         except (asyncio.IncompleteReadError, ConnectionError):
             pass
@@ -101,7 +104,7 @@
 
 
 class SidecarHarness:
-    """The sidecar and what stands round it."""
+    """The sidecar, its scripted servers, and helpers to send requests to it."""
 
     def __init__(self, sidecar: Sidecar, frontend: Frontend, upstream: Upstream) -> None:
         self.sidecar, self.frontend, self.upstream = sidecar, frontend, upstream
@@ -111,15 +114,16 @@
     def update_servers(
         self, servers: dict[str, ScriptedServer], scope: str = "FULL", lifecycle: str = "up"
     ) -> None:
-        entries = [(Entry(name, lifecycle=lifecycle), s.address) for name, s in servers.items()]
+        entries = [(Entry(name, lifecycle=lifecycle), server.address) for name, server in servers.items()]
         self.upstream.update(entries, scope == "FULL")
         self.sidecar.directory(Directory(scope, tuple(entry for entry, _ in entries)))
 
     async def connect(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
         return await asyncio.open_connection(*self.address)
 
-    async def ask(self, data: bytes) -> bytes:
-        """What comes back for these bytes on a connection of their own: a message or nothing."""
+    async def exchange(self, data: bytes) -> bytes:
+        """Send these bytes on a new connection; returns the response, empty if the connection ends without
+        one."""
         reader, writer = await self.connect()
         try:
             writer.write(data)
@@ -130,47 +134,47 @@
             writer.close()
 
     async def status(self, data: bytes) -> int:
-        """The status of the answer to these bytes, 0 if the connection ends without one."""
-        got = await self.ask(data)
-        return int(got.split(b" ")[1]) if got else 0
+        """Send these bytes on a new connection; returns the status of the response, 0 if there is none."""
+        received = await self.exchange(data)
+        return int(received.split(b" ")[1]) if received else 0
 
 
 @asynccontextmanager
 async def sidecar_harness(
     *scripts: Script, clients: int = 20, sockets: int = 20, more: dict[str, Any] | None = None, **changes: Any
 ) -> AsyncIterator[SidecarHarness]:
-    """A sidecar with a server for each script, named s0, s1, ..."""
+    """Run a sidecar with a server for each script; the servers are named s0, s1, ..."""
     config = settings(**changes, **(more or {}))
     clock = Clock()
     upstream = Upstream(config, frozenset(), clock, sockets)
     sidecar = Sidecar(config, 1, clock, upstream, lambda peer, blob: None, lambda: None)
     frontend = Frontend(config, sidecar, clients, 4 * 1024 * 1024)
-    here = SidecarHarness(sidecar, frontend, upstream)
-    here.servers = {f"s{i}": ScriptedServer(script) for i, script in enumerate(scripts)}
-    for server in here.servers.values():
+    harness = SidecarHarness(sidecar, frontend, upstream)
+    harness.servers = {f"s{i}": ScriptedServer(script) for i, script in enumerate(scripts)}
+    for server in harness.servers.values():
         await server.start()
-    here.update_servers(here.servers)
-    here.address = frontend.start_accepting(create_listener(("127.0.0.1", 0)))
+    harness.update_servers(harness.servers)
+    harness.address = frontend.start_accepting(create_listener(("127.0.0.1", 0)))
     try:
         async with asyncio.timeout(TEST_TIMEOUT_S):
-            yield here
+            yield harness
     finally:
-        if frontend._listener.fileno() >= 0:  # else a drain has closed it
+        if frontend._listener.fileno() >= 0:  # otherwise a shutdown has closed it
             frontend._pause_accepting()
             frontend._listener.close()
         for client in list(frontend._clients):
             client.close(CloseReason.CLIENT_LEFT)
-        for server in here.servers.values():
+        for server in harness.servers.values():
             server.stop()
 
 
-async def wait_until(true: Callable[[], bool]) -> None:
-    """Let the loop run until this holds; the place's time limit ends the wait."""
-    while not true():
+async def wait_until(condition: Callable[[], bool]) -> None:
+    """Run the event loop until the condition holds, or the time limit of the test ends the wait."""
+    while not condition():
         await asyncio.sleep(0.005)
 
 
 def trace_ids() -> Callable[[], str]:
-    """Ids that are ever new."""
+    """A function that returns a new trace id with each call."""
     numbers = itertools.count()
     return lambda: f"id{next(numbers)}"
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -1,4 +1,4 @@
-"""Clients that misbehave get an error or a close, and nothing of what they send reaches a server."""
+"""Misbehaving clients get an error or their connection is closed; nothing that they send reaches a server."""
 
 from __future__ import annotations
 
@@ -25,74 +25,74 @@
         ("an id hidden by Connection", request(more="Connection: x-trace-id\r\n")),
         ("unknown class", request(cls="looks", method="GET")),
         ("two classes", request(more="X-Qos: pay\r\n")),
-        ("keyed without its key", request(cls="book")),
-        ("deadline in words", request(expires="soon")),
-        ("deadline not a number", request(expires="nan")),
-        ("deadline below 0", request(expires="-1")),
-        ("deadline without end", request(expires="1e400")),
+        ("no Idempotency-Key where the class requires it", request(cls="book")),
+        ("deadline not numeric", request(expires="soon")),
+        ("deadline NaN", request(expires="nan")),
+        ("negative deadline", request(expires="-1")),
+        ("infinite deadline", request(expires="1e400")),
         ("no deadline", request(expires="")),
         ("body under GET", request(body=b"abc", length="3")),
         ("negative length", request(cls="pay", length="-5")),
         ("huge length", request(cls="pay", length="60000000")),
-        ("lengths that differ", request(cls="pay", body=b"abc", more="Content-Length: 2\r\n")),
+        ("two different lengths", request(cls="pay", body=b"abc", more="Content-Length: 2\r\n")),
         (
-            "chunks that are none",
+            "invalid chunks",
             request(length=None, method="GET", more="Transfer-Encoding: chunked\r\n") + b"zz\r\n",
         ),
-        ("two at a time", request("a") + request("b")),
+        ("two requests at a time", request("a") + request("b")),
         ("no Host", request().replace(b"Host: app\r\n", b"")),
         ("two Hosts", request(more="Host: b\r\n")),
-        ("a version whose messages end otherwise", request().replace(b"HTTP/1.1", b"HTTP/0.9")),
+        ("an unsupported early version", request().replace(b"HTTP/1.1", b"HTTP/0.9")),
         ("a later version", request().replace(b"HTTP/1.1", b"HTTP/2.0")),
-        ("lines that end in LF alone", request().replace(b"\r\n", b"\n")),
+        ("line endings without CR", request().replace(b"\r\n", b"\n")),
         ("a folded header", request(more="X-Props: a=1\r\n b=2\r\n")),
-        ("white space before the colon", request(more="Content-Length : 0\r\n")),
+        ("whitespace before the colon", request(more="Content-Length : 0\r\n")),
         (
-            "an encoding within chunks",
+            "a transfer encoding inside chunks",
             request(length=None, method="GET", more="Transfer-Encoding: gzip, chunked\r\n") + b"0\r\n\r\n",
         ),
         ("HEAD", request(method="HEAD")),
         ("CONNECT", b"CONNECT a:1 HTTP/1.1\r\nHost: a\r\n\r\n"),
-        ("noise", b"\x8e\xfb\r\n\r\n"),
+        ("binary noise", b"\x8e\xfb\r\n\r\n"),
         ("endless head", b"GET / HTTP/1.1\r\nX-Pad: " + b"p" * 40_000),
     ],
 )
-def test_what_servers_cannot_use_is_turned_away(name, data):
+def test_an_invalid_request_is_rejected_and_not_forwarded(name, data):
     async def main():
-        async with sidecar_harness(respond_ok) as here:
-            status = await here.status(data)
+        async with sidecar_harness(respond_ok) as harness:
+            status = await harness.status(data)
             assert 400 <= status < 600, name
-            assert not here.servers["s0"].requests, "nothing of it may be passed on"
-            assert here.sidecar._taken == 0
-            assert await here.status(request("after")) == 200
+            assert not harness.servers["s0"].requests, "nothing of it may be forwarded"
+            assert harness.sidecar._taken == 0
+            assert await harness.status(request("after")) == 200
 
     asyncio.run(main())
 
 
-def test_a_chunked_body_past_the_limit_is_turned_away():
+def test_a_chunked_body_over_the_limit_is_rejected():
     async def main():
-        async with sidecar_harness(respond_ok) as here:
+        async with sidecar_harness(respond_ok) as harness:
             head = request(cls="pay", method="POST", more="Transfer-Encoding: chunked\r\n").replace(
                 b"Content-Length: 0\r\n", b""
             )
             chunk = b"8000\r\n" + b"x" * 0x8000 + b"\r\n"
-            assert await here.status(head + 3 * chunk) == 413
-            assert here.frontend.budget.free == 4 * 1024 * 1024, "its memory is given back"
+            assert await harness.status(head + 3 * chunk) == 413
+            assert harness.frontend.budget.free == 4 * 1024 * 1024, "its memory is released"
 
     asyncio.run(main())
 
 
-def test_bodies_beyond_the_pool_are_refused_and_do_not_wait():
+def test_bodies_beyond_the_memory_budget_are_rejected_at_once():
     async def main():
-        async with sidecar_harness(respond_ok) as here:
-            here.frontend.budget.free = 50_000
-            _, holder = await here.connect()
+        async with sidecar_harness(respond_ok) as harness:
+            harness.frontend.budget.free = 50_000
+            _, holder = await harness.connect()
             holder.write(request("h", cls="pay", body=b"x" * 40_000, length="41000"))
-            await wait_until(lambda: here.frontend.budget.free < 20_000)
-            assert await here.status(request("w", cls="pay", body=b"x" * 40_000)) == 503
+            await wait_until(lambda: harness.frontend.budget.free < 20_000)
+            assert await harness.status(request("w", cls="pay", body=b"x" * 40_000)) == 503
             holder.close()
-            await wait_until(lambda: here.frontend.budget.free == 50_000)
-            assert await here.status(request("v", cls="pay", body=b"x" * 40_000)) == 200
+            await wait_until(lambda: harness.frontend.budget.free == 50_000)
+            assert await harness.status(request("v", cls="pay", body=b"x" * 40_000)) == 200
 
     asyncio.run(main())
 
@@ -100,24 +100,24 @@
 @pytest.mark.parametrize(
     "part", [b"", b"GET /api HTTP/1.1\r\nX-Qos: lo", request(cls="pay", body=b"ab", length="9")]
 )
-def test_half_a_request_ends_in_an_error_or_a_close(part, monkeypatch):
+def test_an_incomplete_request_ends_in_an_error_or_a_close(part, monkeypatch):
     monkeypatch.setattr(client_connection, "REQUEST_TIMEOUT_S", 0.1)
 
     async def main():
-        async with sidecar_harness(respond_ok) as here:
-            status = await here.status(part)
+        async with sidecar_harness(respond_ok) as harness:
+            status = await harness.status(part)
             assert status == (408 if part else 0)
-            await wait_until(lambda: not here.frontend._clients)
+            await wait_until(lambda: not harness.frontend._clients)
 
     asyncio.run(main())
 
 
-def test_a_kept_connection_has_as_long_for_its_next_request(monkeypatch):
+def test_the_request_timeout_also_holds_for_later_requests_on_a_connection(monkeypatch):
     monkeypatch.setattr(client_connection, "REQUEST_TIMEOUT_S", 0.1)
 
     async def main():
-        async with sidecar_harness(respond_ok) as here:
-            reader, writer = await here.connect()
+        async with sidecar_harness(respond_ok) as harness:
+            reader, writer = await harness.connect()
             writer.write(request("one"))
             await read_message(reader)
             writer.write(b"GET /a")
@@ -126,12 +126,12 @@
     asyncio.run(main())
 
 
-def test_a_resting_connection_is_closed_after_a_while(monkeypatch):
+def test_an_idle_connection_is_closed_after_its_timeout(monkeypatch):
     monkeypatch.setattr(client_connection, "IDLE_TIMEOUT_S", 0.1)
 
     async def main():
-        async with sidecar_harness(respond_ok) as here:
-            reader, writer = await here.connect()
+        async with sidecar_harness(respond_ok) as harness:
+            reader, writer = await harness.connect()
             writer.write(request("one"))
             await read_message(reader)
             assert await reader.read() == b""
@@ -139,27 +139,27 @@
     asyncio.run(main())
 
 
-def test_the_id_of_an_open_request_is_taken():
+def test_a_request_with_the_id_of_an_open_request_is_rejected():
     async def main():
         release = asyncio.Event()
 
-        async def wait(server, got, reader, writer):
+        async def wait(server, received, reader, writer):
             await release.wait()
-            await respond_ok(server, got, reader, writer)
+            await respond_ok(server, received, reader, writer)
 
-        async with sidecar_harness(wait) as here:
-            reader, writer = await here.connect()
+        async with sidecar_harness(wait) as harness:
+            reader, writer = await harness.connect()
             writer.write(request("same"))
-            await wait_until(lambda: here.servers["s0"].requests)
-            assert await here.status(request("same")) == 409
+            await wait_until(lambda: harness.servers["s0"].requests)
+            assert await harness.status(request("same")) == 409
             release.set()
             assert (await read_message(reader)).endswith(b"for same")
-            assert len(here.servers["s0"].requests) == 1
+            assert len(harness.servers["s0"].requests) == 1
 
     asyncio.run(main())
 
 
-def test_ids_are_not_kept_for_good():
+def test_recent_ids_are_forgotten_after_a_while():
     ids = RecentIds(1.0)
     for now in range(10):
         assert all(ids.claim(b"%d/%d" % (now, i), float(now)) for i in range(50))
@@ -167,85 +167,86 @@
     assert len(ids._new | ids._old) <= 100
 
 
-def test_a_crowd_that_says_nothing_does_not_keep_others_out():
+def test_many_silent_connections_do_not_lock_out_other_clients():
     async def main():
-        async with sidecar_harness(respond_ok, clients=5) as here:
-            crowd = [await here.connect() for _ in range(30)]
-            assert await here.status(request()) == 200
-            assert len(here.frontend._clients) <= 5
-            ended = [reader for reader, _ in crowd if reader.at_eof()]
+        async with sidecar_harness(respond_ok, clients=5) as harness:
+            silent = [await harness.connect() for _ in range(30)]
+            assert await harness.status(request()) == 200
+            assert len(harness.frontend._clients) <= 5
+            ended = [reader for reader, _ in silent if reader.at_eof()]
             assert len(ended) >= 20
-            for _, writer in crowd:
+            for _, writer in silent:
                 writer.close()
 
     asyncio.run(main())
 
 
-def test_room_is_made_by_who_says_nothing_before_who_has_been_served():
+def test_silent_connections_are_evicted_before_idle_ones():
     async def main():
-        async with sidecar_harness(respond_ok, clients=4) as here:
-            reader, writer = await here.connect()
+        async with sidecar_harness(respond_ok, clients=4) as harness:
+            reader, writer = await harness.connect()
             writer.write(request("one"))
             await read_message(reader)
-            crowd = [await here.connect() for _ in range(20)]
+            silent = [await harness.connect() for _ in range(20)]
             writer.write(request("two"))
             assert (await read_message(reader)).endswith(b"for two")
-            for _, other in crowd:
+            for _, other in silent:
                 other.close()
 
     asyncio.run(main())
 
 
-def test_a_connection_whose_request_waits_unread_is_not_put_out():
+def test_a_connection_with_an_unread_request_is_not_evicted():
     async def main():
-        async with sidecar_harness(respond_ok) as here:
-            with socket.create_connection(here.address) as sock:
-                await wait_until(lambda: any(c.silent() for c in here.frontend._eviction.fresh))
-                (client,) = here.frontend._eviction.fresh
-                await asyncio.sleep(2 * FIRST_REQUEST_GRACE_S)  # by its age it may go
-                sock.send(request())  # in the kernel: the loop has not run since
+        async with sidecar_harness(respond_ok) as harness:
+            with socket.create_connection(harness.address) as sock:
+                await wait_until(lambda: any(c.silent() for c in harness.frontend._eviction.fresh))
+                (client,) = harness.frontend._eviction.fresh
+                await asyncio.sleep(2 * FIRST_REQUEST_GRACE_S)  # past its grace period
+                sock.send(request())  # only in the kernel: the event loop has not run since
                 assert not client.silent()
-                assert not here.frontend._evict()
+                assert not harness.frontend._evict()
 
     asyncio.run(main())
 
 
-def test_clients_that_leave_the_closing_to_us_hold_no_places(monkeypatch):
+def test_clients_that_do_not_close_their_side_hold_no_connections(monkeypatch):
     monkeypatch.setattr(client_connection, "LINGER_TIMEOUT_S", 600.0)
 
     async def main():
-        new = trace_ids()
-        async with sidecar_harness(respond_ok, clients=3) as here:
-            kept = []
-            for ending in ("close", "bad", "close", "bad") * 3:
-                reader, writer = await here.connect()
-                kept.append(writer)
-                more = "Connection: close\r\n" if ending == "close" else "X-Qos: look\r\n"
-                writer.write(request(new(), more=more))
-                status = b" 200 " if ending == "close" else b" 400 "
+        new_trace_id = trace_ids()
+        async with sidecar_harness(respond_ok, clients=3) as harness:
+            writers = []
+            for kind in ("close", "bad", "close", "bad") * 3:
+                reader, writer = await harness.connect()
+                writers.append(writer)
+                more = "Connection: close\r\n" if kind == "close" else "X-Qos: look\r\n"
+                writer.write(request(new_trace_id(), more=more))
+                status = b" 200 " if kind == "close" else b" 400 "
                 assert status in await read_message(reader)
-            for writer in kept:
+            for writer in writers:
                 writer.close()
 
     asyncio.run(main())
 
 
-def test_of_many_that_ask_once_and_keep_their_connection_those_that_rest_longest_go():
-    """They had all connections there are, each for seconds of rest, and nobody else got one."""
+def test_the_longest_idle_connections_are_closed_when_too_many_are_idle():
+    """Clients that sent one request and kept their connection held all connections until the idle timeout, so
+    that other clients got none."""
 
     async def main():
-        async with sidecar_harness(respond_ok, clients=40) as here:
-            trace = trace_ids()
-            kept = [await here.connect() for _ in range(15)]
+        async with sidecar_harness(respond_ok, clients=40) as harness:
+            new_trace_id = trace_ids()
+            kept = [await harness.connect() for _ in range(15)]
             for reader, writer in kept:
-                writer.write(request(trace()))
+                writer.write(request(new_trace_id()))
                 assert (await read_message(reader)).startswith(b"HTTP/1.1 200")
             for reader, _ in kept[:5]:
-                assert await reader.read() == b"", "closed, long before it had rested its time"
+                assert await reader.read() == b"", "closed long before the idle timeout"
             for reader, writer in kept[5:]:
-                writer.write(request(trace()))
+                writer.write(request(new_trace_id()))
                 assert (await read_message(reader)).startswith(b"HTTP/1.1 200")
-            await wait_until(lambda: len(here.frontend._clients) == 10)
+            await wait_until(lambda: len(harness.frontend._clients) == 10)
             for _, writer in kept:
                 writer.close()
 
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -52,7 +52,7 @@
             server = here.balancer.book.servers["s0"]
             assert (server.k, server.inflight) == (1, 0)
             here.servers["s0"].script = respond_ok
-            assert (await here.ask(request("next"))).endswith(b"for next")
+            assert (await here.exchange(request("next"))).endswith(b"for next")
             assert here.upstream._open == 1, "the spoilt connection is gone"
 
     asyncio.run(main())
@@ -166,7 +166,7 @@
         async with sidecar_harness(more) as here:
             for _ in range(10):
                 trace = new()
-                assert (await here.ask(request(trace))).endswith(b"for " + trace.encode())
+                assert (await here.exchange(request(trace))).endswith(b"for " + trace.encode())
             assert here.servers["s0"].connections == 10, "each connection is of no further use"
 
     asyncio.run(main())
@@ -207,7 +207,7 @@
             assert await here.status(request("a")) == 200
             here.upstream._wary_until = asyncio.get_running_loop().time() + 60.0
             for trace in ("b", "c"):
-                assert (await here.ask(request(trace, cls="pay"))).endswith(b"for " + trace.encode())
+                assert (await here.exchange(request(trace, cls="pay"))).endswith(b"for " + trace.encode())
             assert here.servers["s0"].connections == 3, "the same attempt went on a new connection"
 
     asyncio.run(main())
@@ -248,7 +248,7 @@
 
     async def main():
         async with sidecar_harness(early) as here:
-            assert (await here.ask(request("t"))).endswith(b"for t")
+            assert (await here.exchange(request("t"))).endswith(b"for t")
 
     asyncio.run(main())
 
@@ -366,7 +366,7 @@
         async with sidecar_harness(turn_away_early) as here:
             assert await here.status(request("a")) == 200
             here.upstream._wary_until = asyncio.get_running_loop().time() + 60.0
-            assert (await here.ask(request("b", cls="pay"))).endswith(b"for b")
+            assert (await here.exchange(request("b", cls="pay"))).endswith(b"for b")
             server = here.servers["s0"]
             assert (server.connections, len(server.requests)) == (2, 2)
             assert here.upstream._open == 1, "the first one is closed"
--- a/tests/websocket/test_sockets.py
+++ b/tests/websocket/test_sockets.py
@@ -195,7 +195,7 @@
             here.update_servers({"s0": here.servers["s0"]})
             here.hub.told({"s0": "up"}, True)
             streams = [await opened(here) for _ in range(2)]
-            got = await here.ask(ask())
+            got = await here.exchange(ask())
             assert b" 503 " in got[:20] and b"retry-after" in got
             streams[0][1].close()
             await wait_until(lambda: here.hub.count == 1)
@@ -306,7 +306,7 @@
             ending = asyncio.create_task(here.hub.drain(2.0))
             got = [await read_frame(reader) for reader, _ in streams]
             assert {payload[:2] for _, payload in got} == {b"\x03\xe9"}
-            assert b" 503 " in (await here.ask(ask()))[:20]
+            assert b" 503 " in (await here.exchange(ask()))[:20]
             await ending
             await wait_until(lambda: not here.hub.count)
             for _, writer in streams:
@@ -318,7 +318,7 @@
 def test_where_sockets_are_off_an_upgrade_is_read_past_as_ever():
     async def main():
         async with sidecar_harness(respond_ok) as here:
-            got = await here.ask(ask("X-Trace-Id: t1\r\nX-Expires-In: 0.9\r\n"))
+            got = await here.exchange(ask("X-Trace-Id: t1\r\nX-Expires-In: 0.9\r\n"))
             assert b" 200 " in got[:20]
 
     run(main)
