--- a/covetally/net/frontend.py
+++ b/covetally/net/frontend.py
@@ -35,7 +35,7 @@
 ACCEPT_BURST = 1 / 16
 ACCEPT_PAUSE_S = 0.02  # before the next accept if the process or the machine is out of file descriptors
 REGISTER_ATTEMPTS = 50  # attempts to register an accepted socket with the event loop, ACCEPT_PAUSE_S apart
-RECEIVE_BUFFER = 64 * 1024  # of the kernel, for each connection; unread bytes in it are already accepted
+RECEIVE_BUFFER = 64 * 1024  # of the kernel, for each connection; unread requests in it already count as accepted
 MAX_IDLE_SHARE = 1 / 4  # share of the connection limit that may be idle between requests
 IDLE_CANDIDATES = 8  # idle connections examined for one that may be closed
 
@@ -90,7 +90,7 @@
         self._listener: socket.socket
         self._claims: Claims | None = None
         self._accepting = False
-        self._all_gone = asyncio.Event()
+        self._no_clients = asyncio.Event()
         self.shed_requests = 0  # requests refused without being parsed
         self.upgrades: Upgrades | None = None
         self.read_scheduler = ReadScheduler(sidecar)
@@ -137,8 +137,8 @@
         asyncio.get_running_loop().remove_reader(self._listener)
 
     def _accept(self) -> None:
-        for turn in range(self._accept_burst):
-            if turn and len(self._clients) >= self._limit:
+        for number in range(self._accept_burst):
+            if number and len(self._clients) >= self._limit:
                 return  # evict only once the listener is known to have a connection waiting
             if self._accept_one() in (NONE_WAITING, NO_ROOM):
                 return
@@ -222,7 +222,7 @@
         self._clients.pop(client, None)
         self.on_busy(client)
         if not self._clients:
-            self._all_gone.set()
+            self._no_clients.set()
         self._resume_accepting()
 
     # --- events of connections ------------------------------------------------------------------
@@ -373,10 +373,10 @@
         """Wait until no client is connected, or until this time on the event loop's clock."""
         if not self._clients:
             return
-        self._all_gone.clear()
+        self._no_clients.clear()
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout_at(deadline):
-                await self._all_gone.wait()
+                await self._no_clients.wait()
 
     def _close_remaining(self) -> None:
         """Close all remaining connections."""
