--- a/covetally/net/client_connection.py
+++ b/covetally/net/client_connection.py
@@ -1,6 +1,6 @@
 """One client connection and the request that it currently carries.
 
-phase      what happens                                       -> next phase
+phase      what happens                                       next phase
 ---------  -------------------------------------------------  ---------------------------------------------
 READING    a request is awaited or being received             WAITING once complete, WRITING if rejected
 WAITING    a request was accepted and needs a response        WRITING with the response, CLOSED if the
