--- a/covetally/net/asking.py
+++ b/covetally/net/asking.py
@@ -8,7 +8,7 @@
 it has counts at once, so a sidecar that has not heard from it looks again within the drain grace. Where they are
 asked for, discovery is one service for all, which works through calls in turn: a call after a failed one is
 patient, and asks for no wait of its own, and the module draws the pauses between them (`ASK_GAP` in
-covetally/policy/roster.py).
+covetally/policy/server_list.py).
 """
 
 from __future__ import annotations
--- a/covetally/net/repeat_guard.py
+++ b/covetally/net/repeat_guard.py
@@ -1,7 +1,7 @@
 """The last check before a request is repeated, independent of the decision that asked for it.
 
-The decision module has the same rule in `policy/rules.py`. It stands here a second time on purpose: a bug there
-must not run an effect twice. This check knows only what was submitted and how it ended.
+The decision module has the same rule in `policy/attempt_rules.py`. It stands here a second time on purpose: a bug
+there must not run an effect twice. This check knows only what was submitted and how it ended.
 """
 
 from __future__ import annotations
--- a/covetally/policy/rules.py
+++ b/covetally/policy/attempt_rules.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 from covetally.interface import Accept, Fail, Refuse, RequestClass, Submit
-from covetally.policy.book import Book
+from covetally.policy.state import Book
 from covetally.policy.calls import Attempt, Call, Odds
-from covetally.policy.figures import MUTE
+from covetally.policy.constants import MUTE
 from covetally.policy.server import Server
 
 
--- a/covetally/policy/balancer.py
+++ b/covetally/policy/balancer.py
@@ -28,15 +28,15 @@
     Suspect,
     Warned,
 )
-from covetally.policy.book import Book
-from covetally.policy.ending import end_by
+from covetally.policy.state import Book
+from covetally.policy.shutdown import end_by
 from covetally.policy.events import accept, alarm, drop, outcome
-from covetally.policy.limits import allot, demand
-from covetally.policy.roster import apply_update
-from covetally.policy.rules import remember
-from covetally.policy.shed import glance
-from covetally.policy.times import hear
-from covetally.policy.verdicts import suspect, warn, why_less
+from covetally.policy.tenant_limits import allot, demand
+from covetally.policy.server_list import apply_update
+from covetally.policy.attempt_rules import remember
+from covetally.policy.load_shedding import glance
+from covetally.policy.estimates import hear
+from covetally.policy.outlier_detection import suspect, warn, why_less
 
 
 class Balancer:
--- a/covetally/policy/way.py
+++ b/covetally/policy/dispatch.py
@@ -5,13 +5,13 @@
 from bisect import bisect
 
 from covetally.interface import Defer
-from covetally.policy.book import Book
+from covetally.policy.state import Book
 from covetally.policy.calls import Call
-from covetally.policy.figures import RATIOS, SAFE
+from covetally.policy.constants import RATIOS, SAFE
 from covetally.policy.pick import choose, holds_more, trial_due
-from covetally.policy.rules import finish, may_go, send
-from covetally.policy.shed import hopeless
-from covetally.policy.times import mean_own
+from covetally.policy.attempt_rules import finish, may_go, send
+from covetally.policy.load_shedding import hopeless
+from covetally.policy.estimates import mean_own
 
 
 def last_moment(b: Book, call: Call) -> int:
--- a/covetally/policy/times.py
+++ b/covetally/policy/estimates.py
@@ -6,9 +6,9 @@
 from zlib import crc32
 
 from covetally.interface import Heard, Response, Signal
-from covetally.policy.book import Book
+from covetally.policy.state import Book
 from covetally.policy.calls import Attempt, Call
-from covetally.policy.figures import GAIN, LONE, OK, TIMEOUT
+from covetally.policy.constants import GAIN, LONE, OK, TIMEOUT
 from covetally.policy.server import Server
 
 PEERS = 4  # peers told of each outcome, at most
--- a/covetally/policy/events.py
+++ b/covetally/policy/events.py
@@ -5,9 +5,9 @@
 from dataclasses import replace
 
 from covetally.interface import Accept, NEVER_RAN, Response, Subscribe
-from covetally.policy.book import Book
+from covetally.policy.state import Book
 from covetally.policy.calls import Call
-from covetally.policy.figures import (
+from covetally.policy.constants import (
     CANCELLED,
     ERROR,
     FULL,
@@ -20,12 +20,12 @@
     SPOILT,
     TIMEOUT,
 )
-from covetally.policy.limits import over_limit
-from covetally.policy.rules import finish, first_try
-from covetally.policy.shed import glance
-from covetally.policy.times import learn, mean_own, spread
-from covetally.policy.verdicts import blame, clear, note_cut
-from covetally.policy.way import go, hold, pump, try_again
+from covetally.policy.tenant_limits import over_limit
+from covetally.policy.attempt_rules import finish, first_try
+from covetally.policy.load_shedding import glance
+from covetally.policy.estimates import learn, mean_own, spread
+from covetally.policy.outlier_detection import blame, clear, note_cut
+from covetally.policy.dispatch import go, hold, pump, try_again
 
 ANSWERS = (OK, ERROR, FULL, SPOILT)
 NO_VERDICT = (CANCELLED, MOOT)  # withdrawn or never sent
--- a/covetally/policy/shed.py
+++ b/covetally/policy/load_shedding.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from covetally.policy.book import Book
+from covetally.policy.state import Book
 from covetally.policy.calls import Odds
-from covetally.policy.figures import SAFE
+from covetally.policy.constants import SAFE
 
 DOUBT = 20.0  # late calls of a class of ratios that weigh as much as what is supposed without any
 
--- a/covetally/policy/verdicts.py
+++ b/covetally/policy/outlier_detection.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 from covetally.interface import NEVER_RAN, Suspect, Warned
-from covetally.policy.book import Book
+from covetally.policy.state import Book
 from covetally.policy.calls import Attempt, Call
-from covetally.policy.figures import (
+from covetally.policy.constants import (
     CONNECT_FAILED,
     ERROR,
     FULL,
@@ -18,7 +18,7 @@
     TIMEOUT,
 )
 from covetally.policy.server import Server
-from covetally.policy.times import ramp
+from covetally.policy.estimates import ramp
 
 DEAD = 3  # failed connections in a row that show a dead process to a sidecar with many calls for each server
 STREAK = 0.6  # failure average past which spoilt answers convict: three in a row
--- a/covetally/policy/pick.py
+++ b/covetally/policy/pick.py
@@ -5,12 +5,12 @@
 from bisect import bisect
 from zlib import crc32
 
-from covetally.policy.book import Book
+from covetally.policy.state import Book
 from covetally.policy.calls import Call
-from covetally.policy.rules import may_go
+from covetally.policy.attempt_rules import may_go
 from covetally.policy.server import Server
-from covetally.policy.times import expected, mean_wait, ramp
-from covetally.policy.verdicts import is_cut, is_warned, shuns
+from covetally.policy.estimates import expected, mean_wait, ramp
+from covetally.policy.outlier_detection import is_cut, is_warned, shuns
 
 DRAWS = 12  # draws before a pick falls back on the set of servers under budget
 KEY_LOOKS = 8  # points of the ring at which a key looks for an open connection
--- a/covetally/policy/allotment.py
+++ b/covetally/policy/quota.py
@@ -5,7 +5,7 @@
 from covetally.interface import Allotted
 
 
-class Allotment:
+class Quota:
     """This sidecar's part of a limit on a tenant's calls. A rate is saved up for `burst_s`, and for one call at
     least; what is saved begins with nothing, so that parts that change hands are not used twice."""
 
--- a/covetally/policy/roster.py
+++ b/covetally/policy/server_list.py
@@ -5,10 +5,10 @@
 from zlib import crc32
 
 from covetally.interface import SECOND, Defer, Directory, Entry
-from covetally.policy.book import Book
-from covetally.policy.figures import PLENTY
+from covetally.policy.state import Book
+from covetally.policy.constants import PLENTY
 from covetally.policy.server import Server
-from covetally.policy.way import pump
+from covetally.policy.dispatch import pump
 
 VNODES = 16  # ring points of a server, so that no server owns far more keys than another
 # ns, mean pause before discovery is asked: twice the longest (1.8 of it) and a call without an answer fit into
--- a/covetally/policy/ending.py
+++ b/covetally/policy/shutdown.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from covetally.policy.book import Book
-from covetally.policy.way import last_moment, pump
+from covetally.policy.state import Book
+from covetally.policy.dispatch import last_moment, pump
 
 
 def end_by(b: Book, now: int, end: int) -> None:
--- a/covetally/policy/book.py
+++ b/covetally/policy/state.py
@@ -7,9 +7,9 @@
 from collections import deque
 
 from covetally.interface import Action, Line, Settings
-from covetally.policy.allotment import Allotment
+from covetally.policy.quota import Quota
 from covetally.policy.calls import Attempt, Call, Odds
-from covetally.policy.figures import RATIOS, RETRY_RATIO, STEPS
+from covetally.policy.constants import RATIOS, RETRY_RATIO, STEPS
 from covetally.policy.server import Server
 
 FIGURE = 1.0  # least concurrency figure of a server nothing is known of: each step admits so many
@@ -59,7 +59,7 @@
         self.cuts = False  # whether any zone may count as cut off
         self.heard = 0.0  # requests of late, decaying over the horizon
         self.heard_at = now
-        self.allotted: dict[int, list[Allotment]] = {}  # by tenant
+        self.allotted: dict[int, list[Quota]] = {}  # by tenant
         self.warned_until = 0
         self.warned: list[Server] = []
         self.warned_zones: tuple[int, ...] = ()
--- a/covetally/policy/limits.py
+++ b/covetally/policy/tenant_limits.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from covetally.interface import Allotted
-from covetally.policy.allotment import Allotment
-from covetally.policy.book import Book
+from covetally.policy.quota import Quota
+from covetally.policy.state import Book
 
 
 def over_limit(b: Book, now: int, tenant: int) -> int:
@@ -33,7 +33,7 @@
         if event.amount is None:
             limits.remove(known)
     elif event.amount is not None:
-        limits.append(Allotment(event, now))
+        limits.append(Quota(event, now))
     if not limits:
         del b.allotted[event.tenant]
 
--- a/covetally/drill.py
+++ b/covetally/simulator_adapter.py
@@ -277,7 +277,7 @@
 
 
 def main() -> int:
-    """Entry point of `python -m covetally.drill`."""
+    """Entry point of `python -m covetally.simulator_adapter`."""
     sys.stdin.reconfigure(encoding="utf-8", newline="\n")
     return Host(sys.stdin, sys.stdout).run()
 
--- a/tests/crossings/test_list.py
+++ b/tests/crossings/test_list.py
@@ -13,7 +13,7 @@
 from covetally.net import asking
 from covetally.net.discovery import Discovery
 from covetally.net.server_list import ListUpdate
-from covetally.policy.roster import ASK_GAP
+from covetally.policy.server_list import ASK_GAP
 from tests.loopback import Server, answer, place, until
 from tests.support import MS, Paper, settings
 
--- a/tests/incidents/test_guards.py
+++ b/tests/incidents/test_guards.py
@@ -11,7 +11,7 @@
 from covetally.net.closing import CloseReason
 from covetally.net.repeat_guard import may_repeat
 from covetally.net.shutdown_times import shutdown_times
-from covetally.policy import way
+from covetally.policy import dispatch
 from tests.loopback import fine, place, request, until
 from tests.support import MS
 
@@ -22,7 +22,7 @@
 
 
 def test_a_repeat_that_the_decisions_want_against_the_rule_does_not_begin(monkeypatch, caplog):
-    monkeypatch.setattr(way, "may_go", lambda b, now, call, server: True)
+    monkeypatch.setattr(dispatch, "may_go", lambda b, now, call, server: True)
 
     async def main():
         async with place(cut, cut) as here:
--- a/tests/test_balance.py
+++ b/tests/test_balance.py
@@ -8,7 +8,7 @@
 
 from covetally.interface import Accept, Directory, Fail, Heard, Response, Signal
 from covetally.policy.pick import draw_key
-from covetally.policy.times import mean_wait, ramp
+from covetally.policy.estimates import mean_wait, ramp
 from tests.support import MS, Paper, fleet, settings
 
 
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -6,8 +6,8 @@
 
 from covetally.policy.calls import Call
 from covetally.interface import Accept, Directory
-from covetally.policy.times import expected, mean_wait
-from covetally.policy.verdicts import is_cut, note_cut
+from covetally.policy.estimates import expected, mean_wait
+from covetally.policy.outlier_detection import is_cut, note_cut
 from tests.support import MS, Paper, fleet, settings
 
 REPORTS = {"how": "answers", "columns": ["latency_ms", "qps", "queue"]}
--- a/tests/test_drill.py
+++ b/tests/test_simulator_adapter.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from covetally import drill
+from covetally import simulator_adapter
 
 ENV = {"classes": [{"name": "a", "onTimeNs": 300_000_000, "hardLimitNs": 1_000_000_000, "repeat": "free"}]}
 OPEN = f"open_instance who=3 prng=7 env={json.dumps(ENV)}\n"
@@ -25,7 +25,7 @@
 
 def host(text: str) -> tuple[int, str]:
     sink = io.StringIO()
-    return drill.Host(io.StringIO(text, newline="\n"), sink).run(), sink.getvalue()
+    return simulator_adapter.Host(io.StringIO(text, newline="\n"), sink).run(), sink.getvalue()
 
 
 def test_a_call_goes_out_and_its_answer_ends_it():
@@ -93,7 +93,7 @@
     def broken(self, now, event):
         raise RuntimeError("lost\ncount")
 
-    monkeypatch.setattr(drill.Balancer, "handle", broken)
+    monkeypatch.setattr(simulator_adapter.Balancer, "handle", broken)
     status, reply = host(batch(100, OPEN, LIST, TOLD))
     assert (status, reply) == (0, "give_in who=3 line=RuntimeError: lost count\nnext\n")
     assert "Traceback" in capsys.readouterr().err
@@ -105,7 +105,7 @@
     calls = "".join(CALL.replace("aa", f"{i:02x}") for i in range(40))
     text = batch(100, OPEN, f"roster slot=0 nodesList=9\n{rows}", TOLD, calls)
     run = subprocess.run(
-        [sys.executable, "-m", "covetally.drill"],
+        [sys.executable, "-m", "covetally.simulator_adapter"],
         input=text,
         capture_output=True,
         text=True,
@@ -118,7 +118,9 @@
 
 def test_bytes_that_are_not_utf8_end_with_one_plain_message():
     run = subprocess.run(
-        [sys.executable, "-m", "covetally.drill"], input=b"clock wallNs=1\n\xff\xfe\n", capture_output=True
+        [sys.executable, "-m", "covetally.simulator_adapter"],
+        input=b"clock wallNs=1\n\xff\xfe\n",
+        capture_output=True,
     )
     assert run.returncode == 2
     assert run.stdout == b""
