--- a/benchmarks/cold.py
+++ b/benchmarks/cold.py
@@ -27,7 +27,9 @@
             for cold in (1, 4, 12, 20):
                 name = f"{sidecars} sidecars, {cold} of 20 cold" + ("" if ramp else ", no ramp")
                 progress(name)
-                with mock.patch.object(pick, "ramp", pick.ramp if ramp else lambda *_: 1.0):
+                with mock.patch.object(
+                    pick, "slow_start_share", pick.slow_start_share if ramp else lambda *_: 1.0
+                ):
                     plays = (play(sidecars, 20, cold, 0.7, s)[0] for s in range(seeds))
                     found = max(plays, key=lambda f: f.share)
                 fell = fell or (ramp and found.share >= 1.0)
--- a/covetally/caps/member.py
+++ b/covetally/caps/member.py
@@ -10,7 +10,7 @@
 from covetally.caps.home import Asked, Grant, Home, Recall
 from covetally.caps.messages import Kind, Say, decode, encode
 from covetally.caps.rule import Mode, Rule
-from covetally.interface import SECOND, Allotted
+from covetally.interface import SECOND, QuotaUpdate
 from covetally.words import Newest, Part, Word, first_number
 from covetally.words.shell import ALL, Send
 
@@ -147,7 +147,7 @@
         self._left = True
         return out
 
-    def told(self, now: int) -> list[Allotted]:
+    def told(self, now: int) -> list[QuotaUpdate]:
         """What the balancer is told of connections to nodes: units in place of a part."""
         out = []
         for part in self._parts.values():
@@ -157,7 +157,7 @@
             until = part.holder.lapses_at(now) or now + 2**62
             if (usable, until) != part.told:
                 part.told = (usable, until)
-                out.append(Allotted(part.cap.tenant, True, float(usable), until, 0.0))
+                out.append(QuotaUpdate(part.cap.tenant, True, float(usable), until, 0.0))
         return out
 
     # --- parts ----------------------------------------------------------------------------------
--- a/covetally/control/gauges.py
+++ b/covetally/control/gauges.py
@@ -131,10 +131,11 @@
             },
             "nodes": [
                 {
-                    "node": b.server, "up": b.up, "k": b.k, "figure": round(b.figure, 2), "in_flight": b.inflight,
-                    "age_s": round(b.age_ns / 1e9, 1) if b.age_ns >= 0 else None, "trial": b.trial,
-                    "retry_s": round(b.retry_ns / 1e9, 2), "bad": round(b.bad, 3), "refused": b.refused,
-                    "wait_ms": round(b.wait_ns / 1e6, 1), "why": b.why,
+                    "node": b.server, "up": b.up, "k": b.steps, "figure": round(b.step_size, 2),
+                    "in_flight": b.inflight, "age_s": round(b.age_ns / 1e9, 1) if b.age_ns >= 0 else None,
+                    "trial": b.probing, "retry_s": round(b.next_probe_ns / 1e9, 2),
+                    "bad": round(b.failure_ratio, 3), "refused": b.connect_failures,
+                    "wait_ms": round(b.wait_ns / 1e6, 1), "why": b.reason,
                 }
                 for b in process.sidecar.beliefs()
             ],
--- a/covetally/interface/__init__.py
+++ b/covetally/interface/__init__.py
@@ -14,7 +14,7 @@
 SECOND = 1_000_000_000
 
 
-class How(enum.IntEnum):
+class AttemptStatus(enum.IntEnum):
     """Outcome of an attempt."""
 
     OK = 100
@@ -24,11 +24,13 @@
     CONNECT_FAILED = 304
     RESET = 305
     CANCELLED = 306
-    MOOT = 307
-    SPOILT = 308  # the real sidecar's only: an answer came that cannot be used, so the attempt may have run
+    NOT_SENT = 307
+    UNUSABLE_RESPONSE = (
+        308  # the real sidecar's only: an answer came that cannot be used, so the attempt may have run
+    )
 
 
-NEVER_RAN = frozenset({How.FULL, How.CONNECT_FAILED, How.MOOT})
+NOT_EXECUTED = frozenset({AttemptStatus.FULL, AttemptStatus.CONNECT_FAILED, AttemptStatus.NOT_SENT})
 """Outcomes that prove the attempt had no effect."""
 
 
@@ -57,7 +59,7 @@
     """What the site permits."""
 
     max_attempts: int = 1
-    second_copies: bool = False
+    hedging: bool = False
     peers: bool = False
     retry_after: bool = False
     max_retry_after_ns: int = 0
@@ -70,12 +72,12 @@
 class Invariants:
     """Figures of the four rules."""
 
-    cold_from: float = 0.1
-    cold_ns: int = 30 * SECOND
-    fall_multiple: float = 2.0
-    fall_ns: int = SECOND
+    slow_start_floor: float = 0.1
+    slow_start_ns: int = 30 * SECOND
+    overload_multiple: float = 2.0
+    overload_window_ns: int = SECOND
     drain_grace_ns: int = 0
-    must_ask_in_ns: int = 10 * SECOND
+    subscribe_within_ns: int = 10 * SECOND
     answer_grace_ns: int = 0
 
 
@@ -99,16 +101,18 @@
     index: int = 0
     replicas: int = 1
     period_ns: int = 1_000_000
-    must_ask: bool = False
-    marks_retry: bool = False
-    warm_keys: bool = False
+    must_subscribe: bool = False
+    clients_mark_retries: bool = False
+    key_affinity: bool = False
     over_share_worth: float = 1.0
     limits: Limits = field(default_factory=Limits)
     invariants: Invariants = field(default_factory=Invariants)
     prices: Mapping[str, float] = field(default_factory=dict)
     tenants: tuple[Tenant, ...] = ()
-    part: float = 1.0  # of one sidecar's budgets, where several processes share them
-    held_per_server: int = 0  # connections of another protocol that a server may hold for us; 0: any number
+    budget_share: float = 1.0  # of one sidecar's budgets, where several processes share them
+    max_upgraded_per_server: int = (
+        0  # connections of another protocol that a server may hold for us; 0: any number
+    )
 
     @classmethod
     def parse(cls, raw: Any) -> Settings:
@@ -125,9 +129,9 @@
             index=root.int("index", 0),
             replicas=max(1, root.int("replicasOfMe", 1)),
             period_ns=max(1, root.int("periodNs", 1_000_000)),
-            must_ask=root.text("discovery", "automatic") == "subscribe",
-            marks_retry=root.sub("clients").flag("marksRetry"),
-            warm_keys=root.sub("familyInfo").flag("warmKeys"),
+            must_subscribe=root.text("discovery", "automatic") == "subscribe",
+            clients_mark_retries=root.sub("clients").flag("marksRetry"),
+            key_affinity=root.sub("familyInfo").flag("warmKeys"),
             over_share_worth=root.number("overShareWorth", 1.0),
             limits=_limits(root.sub("limits")),
             invariants=_invariants(root.sub("invariants")),
@@ -207,7 +211,7 @@
 def _limits(item: _Reader) -> Limits:
     return Limits(
         max_attempts=max(1, item.int("maxAttempts", 1)),
-        second_copies=item.flag("secondCopies"),
+        hedging=item.flag("secondCopies"),
         peers=item.flag("peers"),
         retry_after=item.flag("retryAfter"),
         max_retry_after_ns=item.int("maxRetryAfterNs", 0),
@@ -219,12 +223,12 @@
 
 def _invariants(item: _Reader) -> Invariants:
     return Invariants(
-        cold_from=min(1.0, max(0.01, item.number("coldFrom", 0.1))),
-        cold_ns=max(1, item.int("coldNs", 30 * SECOND)),
-        fall_multiple=max(1.0, item.number("fallMultiple", 2.0)),
-        fall_ns=item.int("fallNs", SECOND),
+        slow_start_floor=min(1.0, max(0.01, item.number("coldFrom", 0.1))),
+        slow_start_ns=max(1, item.int("coldNs", 30 * SECOND)),
+        overload_multiple=max(1.0, item.number("fallMultiple", 2.0)),
+        overload_window_ns=item.int("fallNs", SECOND),
         drain_grace_ns=item.int("drainGraceNs", 0),
-        must_ask_in_ns=max(SECOND, item.int("mustAskInNs", 10 * SECOND)),
+        subscribe_within_ns=max(SECOND, item.int("mustAskInNs", 10 * SECOND)),
         answer_grace_ns=item.int("graceToAnswerNs", 0),
     )
 
@@ -232,7 +236,7 @@
 # --- Events: what the instance sees -------------------------------------------------------------
 
 
-class Entry(NamedTuple):
+class ServerEntry(NamedTuple):
     """One line of a server list."""
 
     server: str
@@ -244,14 +248,14 @@
     started_ns: int = 0
 
 
-class Directory(NamedTuple):
+class ServerListUpdate(NamedTuple):
     """An update of the list of servers. `scope` is INCREMENTAL, FULL, SAVED or FAILED."""
 
     scope: str
-    entries: tuple[Entry, ...] = ()
+    entries: tuple[ServerEntry, ...] = ()
 
 
-class Accept(NamedTuple):
+class RequestReceived(NamedTuple):
     """A client's request; exactly one final answer is owed. Its last byte came to this machine `age_ns` ago:
     so long it had to wait for this process. `ttl_ns` counts from now. `let_in` tells that the module was asked
     about that wait already."""
@@ -264,38 +268,38 @@
     key: str = ""
     retry: bool = False
     age_ns: int = 0
-    let_in: bool = False
+    admitted: bool = False
     upgrade: bool = False  # its answer, if it is served, is a connection that stays: see `Held`
-    place: float = 0.0  # in the fleet's one order of requests: see `Line`
+    priority: float = 0.0  # in the fleet's one order of requests: see `Line`
 
 
-class Response(NamedTuple):
+class AttemptEnded(NamedTuple):
     """The one outcome of an attempt. `load` is the server's report, empty if none came. `lag_ns` is the
     server's and the network's time, `own_ns` what passed in this process besides."""
 
     tid: str
-    how: int
-    lag_ns: int
+    status: int
+    latency_ns: int
     server: str
     attempt: int
     closed: bool
     load: Mapping[str, float] = {}
-    own_ns: int = 0
+    local_ns: int = 0
 
 
-class Begun(NamedTuple):
+class ResponseStarted(NamedTuple):
     """A streamed answer has started: the attempt now belongs to the client."""
 
     tid: str
 
 
-class Hangup(NamedTuple):
+class ClientDisconnected(NamedTuple):
     """The client left; nothing more is owed."""
 
     tid: str
 
 
-class Held(NamedTuple):
+class UpgradedConnections(NamedTuple):
     """Connections of another protocol, each of them a call that was served, stand at a server: `change` more than
     before, or fewer."""
 
@@ -303,25 +307,25 @@
     change: int
 
 
-class Heard(NamedTuple):
+class PeerMessage(NamedTuple):
     """A message from another sidecar of this tier."""
 
     blob: bytes
 
 
-class Alarm(NamedTuple):
+class TimerFired(NamedTuple):
     """A timer asked for by `Defer` has come due."""
 
     tag: int
 
 
-class Suspect(NamedTuple):
+class ServerUnresponsive(NamedTuple):
     """A server is listed, and its process does not answer, as other evidence than outcomes tells."""
 
     server: str
 
 
-class Warned(NamedTuple):
+class TierWarning(NamedTuple):
     """What the sidecars of the tier together make of servers and zones, in force until `until_ns`, in place of
     what was told before. `servers` have a class each, or -1 for all; `turns` are those whose one trial call is
     this sidecar's; `back` have a new process since that time."""
@@ -329,11 +333,11 @@
     until_ns: int
     servers: tuple[tuple[str, int], ...] = ()
     zones: tuple[int, ...] = ()
-    turns: tuple[str, ...] = ()
-    back: tuple[tuple[str, int], ...] = ()
+    probes: tuple[str, ...] = ()
+    restarted: tuple[tuple[str, int], ...] = ()
 
 
-class Allotted(NamedTuple):
+class QuotaUpdate(NamedTuple):
     """This sidecar's part of a limit on a tenant's calls: so many a second, or in flight, until `until_ns`, then
     `then`. With no `amount` the limit is no more."""
 
@@ -341,26 +345,26 @@
     in_flight: bool
     amount: float | None
     until_ns: int = 0
-    then: float = 0.0
+    fallback: float = 0.0
     burst_s: float = 1.0
 
 
-class Line(NamedTuple):
+class AdmissionThreshold(NamedTuple):
     """Where the fleet's overload line stands, in force until `until_ns`: a request whose place is `at` or past
     it is refused, to come back after a time drawn up to `hold_off_ns`. Of what all sidecars may spend together:
     `retries` are earned by one request, `saved` at most of them kept; a trial of one server, and a new
-    connection to it, are `trial_gap_ns` and `connect_gap_ns` apart, or more (0: no such bound)."""
+    connection to it, are `probe_interval_ns` and `connect_interval_ns` apart, or more (0: no such bound)."""
 
     until_ns: int = 0
-    at: float = 0.0
+    threshold: float = 0.0
     hold_off_ns: int = 0
-    retries: float = 0.0
-    saved: float = 0.0
-    trial_gap_ns: int = 0
-    connect_gap_ns: int = 0
+    retries_per_request: float = 0.0
+    max_saved_retries: float = 0.0
+    probe_interval_ns: int = 0
+    connect_interval_ns: int = 0
 
 
-class Ending(NamedTuple):
+class Shutdown(NamedTuple):
     """The process ends: every call that is open is answered by `end_ns`, whatever its deadline. Calls that come
     later have that in their `ttl_ns`."""
 
@@ -368,8 +372,9 @@
 
 
 Event = (
-    Directory | Accept | Response | Begun | Hangup | Heard | Alarm | Suspect | Held | Warned | Allotted | Line
-    | Ending
+    ServerListUpdate | RequestReceived | AttemptEnded | ResponseStarted | ClientDisconnected | PeerMessage
+    | TimerFired | ServerUnresponsive | UpgradedConnections | TierWarning | QuotaUpdate | AdmissionThreshold
+    | Shutdown
 )  # fmt: skip
 
 
@@ -399,7 +404,7 @@
     tid: str
 
 
-class Retract(NamedTuple):
+class CancelAttempt(NamedTuple):
     """Stop waiting for one attempt."""
 
     tid: str
@@ -410,40 +415,40 @@
     """Ask discovery for the list and its changes from now on."""
 
 
-class Signal(NamedTuple):
+class SendToPeer(NamedTuple):
     """Send a short message to the peer with this index."""
 
     peer: int
     blob: bytes
 
 
-class Defer(NamedTuple):
+class SetTimer(NamedTuple):
     """Ask for an `Alarm` after `in_ns`."""
 
-    in_ns: int
+    delay_ns: int
     tag: int
 
 
-Action = Submit | Refuse | Fail | Retract | Subscribe | Signal | Defer
+Action = Submit | Refuse | Fail | CancelAttempt | Subscribe | SendToPeer | SetTimer
 
 
 # --- What operators may read --------------------------------------------------------------------
 
 
-class Belief(NamedTuple):
+class ServerStatus(NamedTuple):
     """What the module believes of one server. Times are ns; `age_ns` is -1 where no start was told, `retry_ns`
     is how long until a trial is due, `bad` the share of late outcomes that failed, `why` empty where the server
     gets its share."""
 
     server: str
     up: bool
-    k: int
-    figure: float
+    steps: int
+    step_size: float
     inflight: int
     age_ns: int
-    trial: bool
-    retry_ns: int
-    bad: float
-    refused: int
+    probing: bool
+    next_probe_ns: int
+    failure_ratio: float
+    connect_failures: int
     wait_ns: float
-    why: str
+    reason: str
--- a/covetally/lab/cold.py
+++ b/covetally/lab/cold.py
@@ -40,13 +40,13 @@
 def allowed(settings: Settings, slots: int, warmth: float, mean_ns: float) -> float:
     """The work, in ns, at which a cold node of this warmth falls."""
     inv = settings.invariants
-    return cold_most(inv.fall_multiple * slots * warmth * inv.fall_ns, mean_ns)
+    return cold_most(inv.overload_multiple * slots * warmth * inv.overload_window_ns, mean_ns)
 
 
 def worst(fleet: Fleet, books: Books) -> Found:
     """The window that came nearest to a fall, over all cold nodes."""
     found = Found(0.0, 1.0, 0.0)
-    fall_ns = fleet.settings.invariants.fall_ns
+    fall_ns = fleet.settings.invariants.overload_window_ns
     for node in fleet.nodes:
         if node.shape.started_s < 0:
             continue
--- a/covetally/lab/fleet.py
+++ b/covetally/lab/fleet.py
@@ -19,8 +19,8 @@
 
 from covetally.policy import Balancer
 from covetally.interface import (
-    Accept, Action, Alarm, Defer, Directory, Entry, Event, Fail, Heard, How, Refuse, Response, Settings,
-    Signal, Submit,
+    Action, AttemptEnded, AttemptStatus, Event, Fail, PeerMessage, Refuse, RequestReceived, SendToPeer,
+    ServerEntry, ServerListUpdate, SetTimer, Settings, Submit, TimerFired,
 )  # fmt: skip
 
 MS = 1_000_000
@@ -74,7 +74,7 @@
     def place(self, name: str, cls: int, tenant: int, retry: bool) -> float:
         """A request's place in the fleet's order."""
 
-    def outcome(self, event: Response, cls: int) -> None:
+    def outcome(self, event: AttemptEnded, cls: int) -> None:
         """How an attempt ended."""
 
     def ended(self, served: bool) -> None:
@@ -142,7 +142,7 @@
         if self.dead:
             return
         if len(self.queue) >= self.shape.queue:
-            self._answer(job, How.FULL)
+            self._answer(job, AttemptStatus.FULL)
         elif self.running < self.shape.slots:
             self._run(job)
         else:
@@ -161,19 +161,19 @@
         self.running -= 1
         if job.gone:
             self.fleet.books.note(self.fleet.now, "for_nobody", job.cls, self.number)
-        self._answer(job, How.OK)
+        self._answer(job, AttemptStatus.OK)
         while self.queue and self.running < self.shape.slots:
             waiting = self.queue.popleft()
             if waiting.gone:
                 continue
             if self.fleet.now >= waiting.expires:
-                self._answer(waiting, How.FULL)
+                self._answer(waiting, AttemptStatus.FULL)
             else:
                 self._run(waiting)
 
-    def _answer(self, job: _Job, how: How) -> None:
+    def _answer(self, job: _Job, how: AttemptStatus) -> None:
         fleet = self.fleet
-        if how is How.FULL:
+        if how is AttemptStatus.FULL:
             fleet.books.note(fleet.now, "declined", job.cls, self.number)
         fleet.after(fleet.link(job.who, self), job.who.answered, job, self, how, self._report(fleet.now))
 
@@ -197,13 +197,13 @@
         self.rests: dict[int, list[int]] = {}  # by node: since when connections rest
         self.cut: set[int] = set()  # nodes that it cannot reach
 
-    def accept(self, ask: _Ask, event: Accept) -> None:
+    def accept(self, ask: _Ask, event: RequestReceived) -> None:
         """A client's request is whole."""
         fleet = self.fleet
         fleet.books.note(fleet.now, "asks", event.cls)
         if self.guard is not None:
             place = self.guard.place(event.tid, event.cls, event.tenant, event.retry)
-            event = event._replace(place=place)
+            event = event._replace(priority=place)
         self.calls[event.tid] = ask
         fleet.after(event.ttl_ns + 10 * MS, self._overdue, event.tid)
         self.handle(event)
@@ -226,11 +226,11 @@
                 self._end(tid, "refused", hold_off_ns)
             case Fail(tid):
                 self._end(tid, "failed", 0)
-            case Defer(in_ns, tag):
-                fleet.after(max(1, in_ns), self.handle, Alarm(tag))
-            case Signal(peer, blob):
+            case SetTimer(in_ns, tag):
+                fleet.after(max(1, in_ns), self.handle, TimerFired(tag))
+            case SendToPeer(peer, blob):
                 if peer < len(fleet.sidecars):
-                    fleet.after(5 * MS, fleet.sidecars[peer].handle, Heard(blob))
+                    fleet.after(5 * MS, fleet.sidecars[peer].handle, PeerMessage(blob))
 
     def _submit(self, action: Submit) -> None:
         fleet, tid = self.fleet, action.tid
@@ -256,22 +256,22 @@
         if self.jobs.pop((job.tid, job.attempt), None) is None:
             return
         job.gone = True
-        self._outcome(job, node, How.TIMEOUT, {})
+        self._outcome(job, node, AttemptStatus.TIMEOUT, {})
 
-    def answered(self, job: _Job, node: LabNode, how: How, report: dict[str, float]) -> None:
+    def answered(self, job: _Job, node: LabNode, how: AttemptStatus, report: dict[str, float]) -> None:
         """An answer is here."""
         if job.gone or node.number in self.cut or self.jobs.pop((job.tid, job.attempt), None) is None:
             return
         self.rests.setdefault(node.number, []).append(self.fleet.now)
-        if how is How.OK:
+        if how is AttemptStatus.OK:
             self._end(job.tid, "served", 0)
         self._outcome(job, node, how, report)
 
-    def _outcome(self, job: _Job, node: LabNode, how: How, report: dict[str, float]) -> None:
+    def _outcome(self, job: _Job, node: LabNode, how: AttemptStatus, report: dict[str, float]) -> None:
         fleet = self.fleet
         closed = job.tid not in self.calls
         lag = fleet.now - fleet.sent_at.pop(job)
-        event = Response(job.tid, how, lag, node.name, job.attempt, closed, report)
+        event = AttemptEnded(job.tid, how, lag, node.name, job.attempt, closed, report)
         if self.guard is not None:
             self.guard.outcome(event, job.cls)
         self.handle(event)
@@ -302,7 +302,7 @@
         """Ask now."""
         fleet = self.fleet
         tid = f"{self.origin:x}-{self.turn}"
-        event = Accept(tid, self.cls.number, self.end - fleet.now, 0, self.tenant, "", self.turn > 0)
+        event = RequestReceived(tid, self.cls.number, self.end - fleet.now, 0, self.tenant, "", self.turn > 0)
         self.sidecar.accept(self, event)
 
     def ended(self, how: str, hold_off_ns: int) -> None:
@@ -352,12 +352,12 @@
         self._origins = 0
         entries = tuple(self.entry(node) for node in self.nodes)
         for sidecar in self.sidecars:
-            sidecar.handle(Directory("FULL", entries))
+            sidecar.handle(ServerListUpdate("FULL", entries))
 
-    def entry(self, node: LabNode, lifecycle: str = "up") -> Entry:
+    def entry(self, node: LabNode, lifecycle: str = "up") -> ServerEntry:
         """A node's line in the list."""
         started = int(max(0.0, node.shape.started_s) * SECOND) + 1 if node.shape.started_s >= 0 else 0
-        return Entry(node.name, node.shape.zone, 0, node.number // 4, lifecycle, 1.0, started)
+        return ServerEntry(node.name, node.shape.zone, 0, node.number // 4, lifecycle, 1.0, started)
 
     def link(self, sidecar: LabSidecar, node: LabNode) -> int:
         """How long one way takes, in ns."""
--- a/covetally/lab/tier.py
+++ b/covetally/lab/tier.py
@@ -12,7 +12,7 @@
 from collections import Counter
 from collections.abc import Callable
 
-from covetally.interface import How
+from covetally.interface import AttemptStatus
 from covetally.rig.schedule import WELL, Link, Schedule, Step
 from covetally.tier.limits import DRIFT
 from covetally.tier.members import SECOND, Members, Send, State, Timing
@@ -208,7 +208,7 @@
                 for delay_s in link.delays(self.now / SECOND, self.random, self.lost):
                     self._arrive(self.now + int(delay_s * SECOND), sender, to, data)
 
-    def outcome(self, number: int, server: str, how: How, cls: int = 0) -> None:
+    def outcome(self, number: int, server: str, how: AttemptStatus, cls: int = 0) -> None:
         """A call that a member sent just now has ended."""
         if number in self.nodes and number not in self.stopped:
             now = self.time(number)
--- a/covetally/lab/verdicts.py
+++ b/covetally/lab/verdicts.py
@@ -12,7 +12,7 @@
 from dataclasses import replace
 from zlib import crc32
 
-from covetally.interface import How
+from covetally.interface import AttemptStatus
 from covetally.lab.tier import Whole
 from covetally.rig.schedule import Schedule
 from covetally.tier.facts import What, Word
@@ -22,7 +22,7 @@
 
 ZONES = ("a", "b", "c")
 STEP_S = 0.02
-Fate = Callable[[int, str, int], How]
+Fate = Callable[[int, str, int], AttemptStatus]
 
 
 class Calls:
@@ -33,7 +33,7 @@
         self.tier = Whole(size, seed, lambda n: Site(zones=ZONES, zone=n % len(ZONES)))
         self.random = random.Random(seed)
         self.rate, self.classes = rate, classes
-        self.fate: Fate = lambda member, node, cls: How.OK
+        self.fate: Fate = lambda member, node, cls: AttemptStatus.OK
         self.down: set[str] = set()
         self.liars: dict[int, tuple[str, ...]] = {}  # of these members each says that these nodes fail
         self.calls: Counter[tuple[int, str]] = Counter()
@@ -96,7 +96,7 @@
         self._call(member, self.random.choice(names or list(self.zone_of)), cls)
 
     def _call(self, member: int, name: str, cls: int) -> None:
-        how = How.CONNECT_FAILED if name in self.down else self.fate(member, name, cls)
+        how = AttemptStatus.CONNECT_FAILED if name in self.down else self.fate(member, name, cls)
         self.calls[member, name] += 1
-        self.failed[member, name] += how is not How.OK
+        self.failed[member, name] += how is not AttemptStatus.OK
         self.tier.outcome(member, name, how, cls)
--- a/covetally/membership/roster.py
+++ b/covetally/membership/roster.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 from typing import Any, Protocol
 
-from covetally.interface import Belief, Entry, How, Settings
+from covetally.interface import ServerStatus, ServerEntry, AttemptStatus, Settings
 from covetally.membership import keep
 from covetally.membership.belief import ORDERS, Believer, differences
 from covetally.membership.checks import Checks
@@ -33,7 +33,7 @@
 FIRST_S = 3.0
 KEEP_AGAIN_S = 2.0  # until what the disk did not take is written again
 LOOK_S = 0.5  # how often time and evidence are looked at
-HEARD = (How.OK, How.ERROR, How.FULL, How.SPOILT)
+HEARD = (AttemptStatus.OK, AttemptStatus.ERROR, AttemptStatus.FULL, AttemptStatus.UNUSABLE_RESPONSE)
 
 
 class Source(Protocol):
@@ -61,8 +61,8 @@
 
     clock: Clock
     discovery: Discovery
-    tell: Callable[[list[tuple[Entry, Address]]], None]
-    beliefs: Callable[[], list[Belief]]
+    tell: Callable[[list[tuple[ServerEntry, Address]]], None]
+    beliefs: Callable[[], list[ServerStatus]]
     suspect: Callable[[str], None]
 
 
@@ -211,11 +211,11 @@
             log.warning("%s differs from %s: %s", read.source, self._plan.source, found or "no more")
         self._differs = differs
 
-    def outcome(self, server: str, how: How) -> None:
+    def outcome(self, server: str, how: AttemptStatus) -> None:
         """An attempt has ended."""
         if how in HEARD:
             self._hung.answered(server)
-        elif how is How.TIMEOUT and self._hung.timed_out(self._parts.clock.now(), server):
+        elif how is AttemptStatus.TIMEOUT and self._hung.timed_out(self._parts.clock.now(), server):
             self._parts.suspect(server)
 
     def _checked(self, server: str, good: bool) -> None:
@@ -234,7 +234,7 @@
         self._timer = asyncio.get_running_loop().call_later(LOOK_S, self._look)
         now, believer = self._parts.clock.now(), self._believer
         if believer.held():
-            refusing = [b.server for b in self._parts.beliefs() if b.refused and not b.k]
+            refusing = [b.server for b in self._parts.beliefs() if b.connect_failures and not b.steps]
             self._tell([*believer.evidence(now, refusing), *believer.tick(now)])
             self._doubt()
         level = believer.level(now)
@@ -260,7 +260,7 @@
         zones, kinds = self._settings.zones, self._settings.kinds
         entries = [
             (
-                Entry(
+                ServerEntry(
                     t.member.id, _index(zones, t.member.zone), _index(kinds, t.member.kind), t.member.cell,
                     t.lifecycle, t.member.weight, t.started_ns,
                 ),
--- a/covetally/net/attempt.py
+++ b/covetally/net/attempt.py
@@ -25,7 +25,7 @@
 
 import httptools
 
-from covetally.interface import How
+from covetally.interface import AttemptStatus
 from covetally.net.message import Broken, End, Malformed, Switched
 from covetally.net.outcome import NO_LOAD, Bounds, Outcome, Request
 from covetally.net.reply import SWITCHED, Come, Reply
@@ -75,7 +75,7 @@
         self._pause: asyncio.TimerHandle | Timer | None = None  # ends CONNECTING, SETTLING, HOLDING and TAIL
         self._sent = False  # the last byte is the kernel's: from here on it may have run
         self._reused = False
-        self._verdict: How | None = None  # told by an answer's head; nothing after it can change that
+        self._verdict: AttemptStatus | None = None  # told by an answer's head; nothing after it can change that
         self._reply = Reply(request, owner.read_load)
         self._epoch = 0
         self._phase = CONNECTING
@@ -83,7 +83,7 @@
         self._starting = True  # no outcome must be told yet
         if server is None or server.leaving:
             self._phase = OVER
-            self._tell(Outcome(How.MOOT if server else How.CONNECT_FAILED, NO_LOAD))
+            self._tell(Outcome(AttemptStatus.NOT_SENT if server else AttemptStatus.CONNECT_FAILED, NO_LOAD))
             return
         self._server = server
         server.unsent.add(self)
@@ -93,7 +93,7 @@
             self._begin()
         except Exception:
             log.exception("an attempt failed by a bug")
-            self._end(How.RESET)
+            self._end(AttemptStatus.RESET)
         self._starting = False
 
     # --- before it may have run -----------------------------------------------------------------
@@ -122,7 +122,7 @@
         self._phase = CONNECTING
         self._epoch = self._server.epoch
         if not owner.reserve():
-            self._end(How.MOOT)  # it says nothing of the server
+            self._end(AttemptStatus.NOT_SENT)  # it says nothing of the server
             return
         try:
             self._socket = sock = unconnected(address)
@@ -156,7 +156,7 @@
         except OSError:
             error = 0  # what is written to it will tell
         if error:
-            self._end(How.CONNECT_FAILED)
+            self._end(AttemptStatus.CONNECT_FAILED)
             return
         self._owner.loop.remove_writer(sock.fileno())
         self._unwait()
@@ -176,7 +176,7 @@
 
     def _no_connection(self) -> None:
         """The time for a connection is over. One that the kernel has up is no fault of the server's."""
-        self._end(How.MOOT if self._came_up() else How.CONNECT_FAILED)
+        self._end(AttemptStatus.NOT_SENT if self._came_up() else AttemptStatus.CONNECT_FAILED)
 
     def _came_up(self) -> bool:
         return self._socket is not None and tcp_info(self._socket)[0]
@@ -187,7 +187,7 @@
         self._pause = None
         left_ns = self._bounds.abandon_ns - self._owner.clock.now()
         if left_ns < LEAST_LEFT_NS or not self._bounds.wanted():
-            self._end(How.MOOT)  # this process is late, or nobody is left to have the answer
+            self._end(AttemptStatus.NOT_SENT)  # this process is late, or nobody is left to have the answer
             return
         data = self._request.encode(left_ns / 1e9)
         if not hold_back_s:
@@ -212,11 +212,13 @@
             self._unfit()
             return
         if self._server.leaving:
-            self._end(How.MOOT)  # `bar` is about to be called: what has come first must not be written
+            self._end(
+                AttemptStatus.NOT_SENT
+            )  # `bar` is about to be called: what has come first must not be written
             return
         begin_by_ns = self._bounds.begin_by_ns
         if begin_by_ns and self._owner.clock.now() >= begin_by_ns:
-            self._end(How.MOOT)  # its connection took too long to come up
+            self._end(AttemptStatus.NOT_SENT)  # its connection took too long to come up
             return
         self._phase = LAST
         if self._send(self._last):
@@ -257,7 +259,7 @@
             self._phase = RECEIVING
             self._receive()
         else:
-            self._end(How.RESET)
+            self._end(AttemptStatus.RESET)
 
     def abandon_by(self, at_ns: int) -> None:
         """Be given up at `at_ns` on the owner's clock, if that is earlier than what it was to keep to."""
@@ -271,7 +273,7 @@
     def bar(self) -> None:
         """The server wants nothing new any more. That says nothing against it."""
         if not self._sent and self._server.leaving:
-            self._end(How.MOOT)
+            self._end(AttemptStatus.NOT_SENT)
 
     # --- the answer -----------------------------------------------------------------------------
 
@@ -297,9 +299,9 @@
             # Guards against any answer that cannot be told to be whole and this request's own. A connection
             # that ends inside an answer is no spoilt answer but a reset.
             log.warning("answer not usable: %.200s", error)
-            self._end(How.RESET if stream.ended else How.SPOILT)
+            self._end(AttemptStatus.RESET if stream.ended else AttemptStatus.UNUSABLE_RESPONSE)
         except OSError:
-            self._end(How.RESET)
+            self._end(AttemptStatus.RESET)
 
     def _lag_ns(self) -> int:
         assert self._stream is not None
@@ -309,7 +311,7 @@
         """All that counts of the answer is here."""
         stream = self._stream
         assert stream is not None
-        if come.how in (How.FULL, How.ERROR):
+        if come.how in (AttemptStatus.FULL, AttemptStatus.ERROR):
             # The head has told all; its rest is worth a short wait, for the sake of the connection.
             self._verdict = come.how
             self._phase = TAIL
@@ -323,7 +325,7 @@
             self._stream = None
             self._owner.release()
             answer = answer._replace(switched=Switched(sock, early))
-        elif come.how is How.OK:
+        elif come.how is AttemptStatus.OK:
             self._give_back()
         self._finish(Outcome(come.how, self._reply.load, answer, lag_ns))
 
@@ -363,7 +365,7 @@
         """Call it off: its connection is closed now, its outcome told soon."""
         if self._phase is not OVER:
             self._starting = True
-            self._finish(Outcome(How.CANCELLED, self._reply.load))
+            self._finish(Outcome(AttemptStatus.CANCELLED, self._reply.load))
 
     def _abandoned(self) -> None:
         """Its time is up. That says of the server only what the sockets show, never how late this process ran.
@@ -376,22 +378,22 @@
         """
         stream = self._stream
         if self._sent:
-            how = How.CANCELLED if stream is not None and stream.disturbed() else How.TIMEOUT
+            how = AttemptStatus.CANCELLED if stream is not None and stream.disturbed() else AttemptStatus.TIMEOUT
         else:
             connecting = self._socket is not None and not self._came_up()
-            how = How.CONNECT_FAILED if connecting else How.MOOT
+            how = AttemptStatus.CONNECT_FAILED if connecting else AttemptStatus.NOT_SENT
         self._end(how)
 
-    def _end(self, how: How) -> None:
+    def _end(self, how: AttemptStatus) -> None:
         """It has failed: tell what that proves."""
         if self._phase is OVER:
             return
-        if how is How.RESET and self._reused and not self._reply.answered:
+        if how is AttemptStatus.RESET and self._reused and not self._reply.answered:
             self._owner.broke()
         if self._verdict is not None:
             how = self._verdict
-        elif not self._sent and how is not How.MOOT:
-            how = How.CONNECT_FAILED
+        elif not self._sent and how is not AttemptStatus.NOT_SENT:
+            how = AttemptStatus.CONNECT_FAILED
         self._finish(Outcome(how, self._reply.load))
 
     def _finish(self, outcome: Outcome) -> None:
--- a/covetally/net/discovery.py
+++ b/covetally/net/discovery.py
@@ -57,7 +57,7 @@
     """Keeps the list known. What it has learnt stays valid when discovery is down."""
 
     def __init__(self, settings: Settings, address: Address) -> None:
-        self._pushed = not settings.must_ask
+        self._pushed = not settings.must_subscribe
         self._settings = settings
         self._grace_s = settings.invariants.drain_grace_ns / 1e9
         self._address = address
--- a/covetally/net/outcome.py
+++ b/covetally/net/outcome.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Mapping
 from typing import NamedTuple, Protocol
 
-from covetally.interface import How
+from covetally.interface import AttemptStatus
 from covetally.net.message import Answer, Headers, ResponseHead
 
 Load = Mapping[str, float]
@@ -52,7 +52,7 @@
     """How an attempt ended. `answer` is there if it settles the request; `lag_ns` is what the server took
     for it, without the time for which this process let it lie."""
 
-    how: How
+    how: AttemptStatus
     load: Load
     answer: Answer | None = None
     lag_ns: int = 0
--- a/covetally/net/reply.py
+++ b/covetally/net/reply.py
@@ -19,7 +19,7 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from covetally.interface import How
+from covetally.interface import AttemptStatus
 from covetally.net.message import (
     MAX_BODY,
     Answer,
@@ -44,7 +44,7 @@
 class Come(NamedTuple):
     """What an answer comes to; `answer` is there if it settles the request."""
 
-    how: How
+    how: AttemptStatus
     answer: Answer | None = None
 
 
@@ -76,7 +76,7 @@
             raise Broken("ended before an answer")
         head = self._head
         assert head is not None
-        return Come(How.OK, Answer(SERVED, end_to_end(head.headers, head.fields), bytes(self._body)))
+        return Come(AttemptStatus.OK, Answer(SERVED, end_to_end(head.headers, head.fields), bytes(self._body)))
 
     def _on_head(self, head: ResponseHead, sent: bool) -> Come | None:
         if self._switch is not None and head.status < 500 and sent:
@@ -94,16 +94,16 @@
             # that a server finds wrong with a request; it would do harm where servers used 4xx for their own
             # troubles, which then would not count against them.
             log.warning("a server turned a request away with %d", head.status)
-            return Come(How.CANCELLED, Answer(502, []))
+            return Come(AttemptStatus.CANCELLED, Answer(502, []))
         if head.status == SERVED and sent:
             check_framing(fields)
             self._head = head
             return None
         if head.status in NEVER_RAN_STATUS and (b"x-never-ran", b"1") in head.headers:
-            return Come(How.FULL)
+            return Come(AttemptStatus.FULL)
         if not sent:
             raise Broken("answered before the request was whole")
-        return Come(How.ERROR)
+        return Come(AttemptStatus.ERROR)
 
     def _switched(self, head: ResponseHead, switch: Switch) -> Come | None:
         """The answer to a request for another protocol. One that is neither an agreement nor a refusal that is
@@ -111,14 +111,14 @@
         if head.status == SWITCHED:
             switch.check(head)
             self.answered = True
-            return Come(How.OK, Answer(SWITCHED, end_to_end(head.headers, head.fields)))
+            return Come(AttemptStatus.OK, Answer(SWITCHED, end_to_end(head.headers, head.fields)))
         if head.status < 200:
             self._one_more_interim()
             return None
         self.answered = True
         log.warning("a server answered an upgrade with %d", head.status)
         kept = [pair for pair in end_to_end(head.headers, head.fields) if pair[0] != b"content-type"]
-        return Come(How.CANCELLED, Answer(head.status, kept) if head.status >= 400 else Answer(502, []))
+        return Come(AttemptStatus.CANCELLED, Answer(head.status, kept) if head.status >= 400 else Answer(502, []))
 
     def _one_more_interim(self) -> None:
         self._interim += 1
--- a/covetally/net/server.py
+++ b/covetally/net/server.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from covetally.interface import How
+from covetally.interface import AttemptStatus
 from covetally.net.clock import Clock
 from covetally.net.config import Address
 from covetally.net.outcome import Load
@@ -56,7 +56,7 @@
     def release(self) -> None:
         """A connection has gone, or did not come up."""
 
-    def fault_of(self, server: Server, error: int | None) -> How:
+    def fault_of(self, server: Server, error: int | None) -> AttemptStatus:
         """What a dial that failed at once with this errno proves: MOOT where it says nothing of the server."""
 
     def came_up(self, server: Server) -> None:
--- a/covetally/net/server_list.py
+++ b/covetally/net/server_list.py
@@ -7,7 +7,7 @@
 from typing import Any, NamedTuple
 
 from covetally.errors import DamagedError
-from covetally.interface import Entry, Settings
+from covetally.interface import ServerEntry, Settings
 from covetally.net.config import Address
 from covetally.net.message import split_address
 
@@ -29,7 +29,7 @@
 
     generation: int
     whole: bool
-    entries: list[tuple[Entry, Address]]
+    entries: list[tuple[ServerEntry, Address]]
 
 
 def read_list(settings: Settings, raw: Any) -> ListUpdate:
@@ -43,11 +43,11 @@
         raise ListError(f"{type(error).__name__}: {error}") from None
 
 
-def _entry(settings: Settings, item: dict[str, Any]) -> tuple[Entry, Address]:
+def _entry(settings: Settings, item: dict[str, Any]) -> tuple[ServerEntry, Address]:
     name = item["instanceId"]
     if not isinstance(name, str) or not name:
         raise ListError(f"instanceId {name!r}")
-    entry = Entry(
+    entry = ServerEntry(
         server=name,
         zone=_index(settings.zones, item.get("zone")),
         kind=_index(settings.kinds, item.get("machineType")),
@@ -63,7 +63,7 @@
     return names.index(name) if name in names else len(names)
 
 
-def salvage(settings: Settings, text: str) -> list[tuple[Entry, Address]]:
+def salvage(settings: Settings, text: str) -> list[tuple[ServerEntry, Address]]:
     """The entries that came whole in an answer that did not: each of them is true."""
     entries = []
     start = _PREAMBLE.match(text)
--- a/covetally/net/sidecar.py
+++ b/covetally/net/sidecar.py
@@ -13,28 +13,28 @@
 from typing import NamedTuple, Protocol
 
 from covetally.interface import (
-    Accept,
-    NEVER_RAN,
+    RequestReceived,
+    NOT_EXECUTED,
     Action,
-    Alarm,
-    Belief,
-    Defer,
-    Directory,
-    Ending,
+    TimerFired,
+    ServerStatus,
+    SetTimer,
+    ServerListUpdate,
+    Shutdown,
     Event,
     Fail,
-    Hangup,
-    Heard,
-    Held,
-    How,
+    ClientDisconnected,
+    PeerMessage,
+    UpgradedConnections,
+    AttemptStatus,
     Refuse,
-    Response,
-    Retract,
+    AttemptEnded,
+    CancelAttempt,
     Settings,
-    Signal,
+    SendToPeer,
     Submit,
     Subscribe,
-    Suspect,
+    ServerUnresponsive,
 )
 from covetally.net.attempt import Attempt
 from covetally.net.clock import Clock
@@ -70,7 +70,7 @@
     def place(self, name: bytes, cls: int, tenant: int, retry: bool) -> float:
         """A request's place in the fleet's one order."""
 
-    def outcome(self, event: Response, cls: int) -> None:
+    def outcome(self, event: AttemptEnded, cls: int) -> None:
         """How an attempt ended."""
 
     def ended(self, served: bool) -> None:
@@ -127,9 +127,9 @@
         self._calls: dict[str, _Call] = {}
         self._taken = 0
         self._sweep: Timer | None = None
-        self.on_outcome: Callable[[str, How], None] | None = None  # server, how an attempt there ended
+        self.on_outcome: Callable[[str, AttemptStatus], None] | None = None  # server, how an attempt there ended
         # the same, and the class of the call and when the attempt was sent
-        self.on_attempt: Callable[[str, How, int, int], None] | None = None
+        self.on_attempt: Callable[[str, AttemptStatus, int, int], None] | None = None
         self.watcher: Watcher | None = None
         self.on_final: Callable[[int, Answer | None], None] | None = None  # class, answer; None: the client left
         self.violations = Violations()
@@ -141,11 +141,11 @@
     def retune(self, settings: Settings) -> None:
         """Other figures for the same classes, from here on."""
         self._classes = settings.classes
-        self._balancer.retune(settings)
+        self._balancer.reconfigure(settings)
 
-    def beliefs(self) -> list[Belief]:
+    def beliefs(self) -> list[ServerStatus]:
         """What the module believes of each server."""
-        return self._balancer.beliefs(self._clock.now())
+        return self._balancer.server_statuses(self._clock.now())
 
     def zones(self) -> dict[str, int]:
         """The servers on the list, with the zone of each."""
@@ -166,12 +166,12 @@
     @property
     def old_ns(self) -> int:
         """What has waited for longer is refused while it sheds."""
-        return self._balancer.old
+        return self._balancer.queue_age_limit
 
     def glance(self, age_ns: int, retry: bool) -> bytes:
         """The refusal, on the wire, for a request that has waited so long and need not be read; empty if it is
         let in."""
-        hold_off_ns = self._balancer.glance(self._clock.now(), age_ns, retry)
+        hold_off_ns = self._balancer.overload_hold_off(self._clock.now(), age_ns, retry)
         return _refused(hold_off_ns) if hold_off_ns else b""
 
     def take(
@@ -192,7 +192,7 @@
         place = 0.0
         if self.watcher is not None:
             place = self.watcher.place(name, cls, arrival.tenant, arrival.retry)
-        self._handle(Accept(tid, cls, ttl_ns, *rest, age_ns, let_in, upgrade, place), now)
+        self._handle(RequestReceived(tid, cls, ttl_ns, *rest, age_ns, let_in, upgrade, place), now)
         return tid
 
     def end_by(self, at: float) -> None:
@@ -204,7 +204,7 @@
             call.deadline_ns = min(call.deadline_ns, self._end_ns)
             for attempt in call.attempts.values():
                 attempt.abandon_by(self._end_ns)
-        self._handle(Ending(self._end_ns), now)
+        self._handle(Shutdown(self._end_ns), now)
 
     def hang_up(self, tid: str) -> None:
         """The client left. Its attempts are called off: their connections are closed."""
@@ -214,16 +214,16 @@
         self._close(call, None)
         if self.tracing:
             log.debug("request %s: its client left", self._name(tid))
-        self._handle(Hangup(tid))
+        self._handle(ClientDisconnected(tid))
         self._forget(tid, call)
 
-    def directory(self, event: Directory) -> None:
+    def directory(self, event: ServerListUpdate) -> None:
         """An update of the list of servers."""
         self._handle(event)
 
     def suspect(self, server: str) -> None:
         """A server does not answer, as other evidence than attempts tells."""
-        self._handle(Suspect(server))
+        self._handle(ServerUnresponsive(server))
 
     def advise(self, event: Event) -> None:
         """What the sidecars of the tier together make of servers, or this one's part of a limit."""
@@ -235,11 +235,11 @@
 
     def holds(self, server: str, change: int) -> None:
         """So many more connections of another protocol are open to a server, or fewer."""
-        self._handle(Held(server, change))
+        self._handle(UpgradedConnections(server, change))
 
     def heard(self, blob: bytes) -> None:
         """A message from another sidecar."""
-        self._handle(Heard(blob))
+        self._handle(PeerMessage(blob))
 
     def _sweep_later(self) -> None:
         loop = asyncio.get_running_loop()
@@ -266,7 +266,7 @@
             actions = self._balancer.handle(now, event)
         except Exception:  # a bug in the module costs the request at hand, never the process
             log.exception("the module failed on %s", type(event).__name__)
-            actions = [Fail(event.tid)] if isinstance(event, Accept | Response) else []
+            actions = [Fail(event.tid)] if isinstance(event, RequestReceived | AttemptEnded) else []
         for action in actions:
             if type(action) is Submit:
                 self._submit(action, now)
@@ -281,13 +281,13 @@
                 self._finish(tid, refusal(hold_off_ns))
             case Fail(tid):
                 self._finish(tid, Answer(502, []))
-            case Retract(tid, attempt):
+            case CancelAttempt(tid, attempt):
                 call = self._calls.get(tid)
                 if call is not None and attempt in call.attempts:
                     call.attempts[attempt].cancel()
-            case Defer(in_ns, tag):
-                asyncio.get_running_loop().call_later(in_ns / 1e9, self._handle, Alarm(tag))
-            case Signal(peer, blob):
+            case SetTimer(in_ns, tag):
+                asyncio.get_running_loop().call_later(in_ns / 1e9, self._handle, TimerFired(tag))
+            case SendToPeer(peer, blob):
                 self._signal(peer, blob)
             case Subscribe():
                 self._subscribe()
@@ -301,7 +301,7 @@
         call.sent += 1
         abandon_ns = min(action.abandon_ns, call.deadline_ns)
         if call.over or abandon_ns <= now or (number and not self._may_repeat(action, call, now)):
-            event = Response(action.tid, How.MOOT, 0, action.server, number, call.over)
+            event = AttemptEnded(action.tid, AttemptStatus.NOT_SENT, 0, action.server, number, call.over)
             asyncio.get_running_loop().call_soon(self._handle, event)
             return
         if self.tracing:
@@ -339,7 +339,7 @@
                 call.exchange.finish(answer)
             elif answer.switched is not None:
                 answer.switched.sock.close()  # nobody is left to have it
-        elif not call.ran_at_ns and outcome.how not in NEVER_RAN:
+        elif not call.ran_at_ns and outcome.how not in NOT_EXECUTED:
             call.ran_at_ns = sent_ns
         if self.on_outcome is not None:
             self.on_outcome(action.server, outcome.how)
@@ -349,7 +349,7 @@
         passed_ns = now - sent_ns
         lag_ns = outcome.lag_ns or passed_ns
         own_ns = max(0, passed_ns - lag_ns)
-        event = Response(tid, outcome.how, lag_ns, action.server, number, call.over, outcome.load, own_ns)
+        event = AttemptEnded(tid, outcome.how, lag_ns, action.server, number, call.over, outcome.load, own_ns)
         if self.watcher is not None:
             self.watcher.outcome(event, call.cls)
         self._handle(event, now)
--- a/covetally/net/upstream.py
+++ b/covetally/net/upstream.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from functools import partial
 
-from covetally.interface import Entry, How, Settings
+from covetally.interface import ServerEntry, AttemptStatus, Settings
 from covetally.net.attempt import Attempt
 from covetally.net.clock import Clock
 from covetally.net.config import Address
@@ -59,7 +59,7 @@
 
     # --- the list -------------------------------------------------------------------------------
 
-    def update(self, entries: list[tuple[Entry, Address]], whole: bool) -> None:
+    def update(self, entries: list[tuple[ServerEntry, Address]], whole: bool) -> None:
         """An update of service discovery, with each server's address."""
         gone = self._servers.keys() - {entry.server for entry, _ in entries} if whole else set()
         for entry, address in entries:
@@ -156,19 +156,19 @@
         """A connection has gone, or did not come up."""
         self._open -= 1
 
-    def fault_of(self, server: Server, error: int | None) -> How:
+    def fault_of(self, server: Server, error: int | None) -> AttemptStatus:
         """What a dial that failed at once with this errno proves.
 
         A lack of this machine's own (descriptors, memory, ports, a route) says nothing of the server. Guards
         against a moment in which all dials fail here and every server is put into backoff for it. Where dials to
         one server go on failing so while others come up, the lack is on the way to that server, and counts."""
         if error not in LOCAL_CONNECT:
-            return How.CONNECT_FAILED
+            return AttemptStatus.CONNECT_FAILED
         if not server.local_failures:
             server.local_since = self.loop.time()
         server.local_failures += 1
         alone = server.local_failures >= LOCAL_FAILURES and self._came_up_at > server.local_since
-        return How.CONNECT_FAILED if alone else How.MOOT
+        return AttemptStatus.CONNECT_FAILED if alone else AttemptStatus.NOT_SENT
 
     def came_up(self, server: Server) -> None:
         """A connection to it has come up."""
--- a/covetally/overload/member.py
+++ b/covetally/overload/member.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from covetally.interface import SECOND, Line as Told, Response, Settings
+from covetally.interface import SECOND, AdmissionThreshold, AttemptEnded, Settings
 from covetally.overload import ladder, times
 from covetally.overload.line import FALLS, Line, Vote
 from covetally.overload.order import Order, rank
@@ -78,10 +78,10 @@
         """A request has its answer."""
         self.pressure.ended(served)
 
-    def outcome(self, event: Response, cls: int) -> None:
+    def outcome(self, event: AttemptEnded, cls: int) -> None:
         """An attempt has ended."""
         aim = self._aims[cls] if 0 <= cls < len(self._aims) else self._aims[0]
-        self.pressure.outcome(event, event.lag_ns > aim)
+        self.pressure.outcome(event, event.latency_ns > aim)
 
     # --- words ----------------------------------------------------------------------------------
 
@@ -136,13 +136,13 @@
         """Nothing is owed to anybody: words lapse."""
         return []
 
-    def told(self, now: int) -> list[Told]:
+    def told(self, now: int) -> list[AdmissionThreshold]:
         """What the balancer is told: once a look."""
         if now < self._told_at:
             return []
         self._told_at = self.due
         rung = self.line.rung
-        return [Told(
+        return [AdmissionThreshold(
             now + LASTS_NS, ladder.place(rung), times.hold_off_ns(rung, self._settings.limits.max_retry_after_ns),
             RETRIES * ladder.retries_left(rung), saved(self.size),
             gap_ns(self.size, self.policy.trials_per_s), gap_ns(self.size, self.policy.connections_per_s),
--- a/covetally/overload/order.py
+++ b/covetally/overload/order.py
@@ -42,7 +42,7 @@
         least = max(raw, default=2.0)
         # The last of the classes ends the band, or the line would move through nobody for a while.
         self.scales = tuple(max(1.0, scale * FIRST / least) for scale in raw)
-        self._marks = settings.marks_retry
+        self._marks = settings.clients_mark_retries
 
     def place(self, cls: int, rank_: float, within: float, retry: bool) -> float:
         """A request's place. `within` is the part of its tenant's requests that its share covers, from 0 to 1."""
--- a/covetally/overload/pressure.py
+++ b/covetally/overload/pressure.py
@@ -10,13 +10,15 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from covetally.interface import SECOND, How, Response, Settings
+from covetally.interface import SECOND, AttemptStatus, AttemptEnded, Settings
 
 WINDOW_NS = SECOND // 4
 WINDOWS = 2
 LATE = 0.1  # share of calls late or timed out at which the line begins to move
 ABSURD_NS = 60 * SECOND
-NO_SIGN = frozenset({How.CANCELLED, How.MOOT, How.CONNECT_FAILED})  # tell of links and clients, not of load
+NO_SIGN = frozenset(
+    {AttemptStatus.CANCELLED, AttemptStatus.NOT_SENT, AttemptStatus.CONNECT_FAILED}
+)  # tell of links and clients, not of load
 
 
 @dataclass(slots=True)
@@ -62,13 +64,13 @@
         """A request that was let in has its answer."""
         self._now.served += served
 
-    def outcome(self, event: Response, late: bool) -> None:
+    def outcome(self, event: AttemptEnded, late: bool) -> None:
         """An attempt has ended, after its class's aim if `late`."""
-        if event.how in NO_SIGN:
+        if event.status in NO_SIGN:
             return
         counts = self._now
         counts.ended += 1
-        counts.late += late or event.how in (How.TIMEOUT, How.FULL)
+        counts.late += late or event.status in (AttemptStatus.TIMEOUT, AttemptStatus.FULL)
         wait = reported_wait(event.load)
         if wait is not None:
             counts.waits += wait
--- a/covetally/policy/calls.py
+++ b/covetally/policy/calls.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from covetally.interface import Accept, RequestClass
+from covetally.interface import RequestReceived, RequestClass
 from covetally.policy.server import Server
 
 
@@ -16,7 +16,9 @@
     begun = False
     give_up = 0
 
-    def __init__(self, event: Accept, cls: RequestClass, number: int, now: int, first: int, size: float) -> None:
+    def __init__(
+        self, event: RequestReceived, cls: RequestClass, number: int, now: int, first: int, size: float
+    ) -> None:
         self.event, self.tid, self.cls, self.number, self.first = event, event.tid, cls, number, first
         self.deadline = now + event.ttl_ns
         aim_at = first + min(cls.aim_ns + int(cls.aim_stretch * size), cls.deadline_ns)
--- a/covetally/policy/constants.py
+++ b/covetally/policy/constants.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from covetally.interface import How
+from covetally.interface import AttemptStatus
 
-OK, ERROR, FULL, TIMEOUT, CONNECT_FAILED, RESET, CANCELLED, MOOT, SPOILT = How
+OK, ERROR, FULL, TIMEOUT, CONNECT_FAILED, RESET, CANCELLED, NOT_SENT, UNUSABLE_RESPONSE = AttemptStatus
 STEPS = 10  # the clamp on k: A105's default for max_connections_per_subchannel
 GAIN = 0.3  # weight of one new observation against what was known
 RETRY_RATIO = 0.2  # further attempts earned by one request
--- a/covetally/policy/load_shedding.py
+++ b/covetally/policy/load_shedding.py
@@ -2,14 +2,14 @@
 
 from __future__ import annotations
 
-from covetally.policy.state import Book
+from covetally.policy.state import BalancerState
 from covetally.policy.calls import Odds
 from covetally.policy.constants import SAFE
 
 DOUBT = 20.0  # late calls of a class of ratios that weigh as much as what is supposed without any
 
 
-def glance(b: Book, now: int, age: int, retry: bool) -> int:
+def overload_hold_off(state: BalancerState, now: int, age: int, retry: bool) -> int:
     """Whether a request that has waited here for `age` is let in: 0 if so, else after how many ns its client
     may come back. It need not have been read: nothing else of it counts.
 
@@ -21,20 +21,20 @@
     long any more. It ought to catch whatever makes this process slower than what comes: a smaller share of a
     core, dearer requests, crowds of connections. It could do harm where the ages are wrong.
     """
-    late = age > b.old
+    late = age > state.queue_age_limit
     if late:
-        if now - b.late_at > b.settle // 4:  # an aim without one: the queue had gone
-            b.late_from = now
-        b.late_at = now
-    elif not b.shedding:
+        if now - state.last_late_at > state.wait_memory // 4:  # an aim without one: the queue had gone
+            state.late_since = now
+        state.last_late_at = now
+    elif not state.shedding:
         return 0
-    b.shedding = b.late_at - b.late_from > b.settle // 4 >= now - b.late_at
-    if not b.shedding or not (late or retry):
+    state.shedding = state.last_late_at - state.late_since > state.wait_memory // 4 >= now - state.last_late_at
+    if not state.shedding or not (late or retry):
         return 0
-    return max(1, b.settings.limits.max_retry_after_ns)
+    return max(1, state.settings.limits.max_retry_after_ns)
 
 
-def hopeless(b: Book, ratio: float, odds: Odds) -> bool:
+def hopeless(state: BalancerState, ratio: float, odds: Odds) -> bool:
     """Exception "shedding": the best server found would answer about when the aim is over or later.
 
     What is supposed of such calls gives way to how they fared of late, where there were enough of them: a
@@ -43,4 +43,4 @@
     """
     supposed = 0.5 - min(0.95, (ratio - SAFE) * 2.0) / 2.0
     hit = (odds.hits + DOUBT * supposed) / (odds.tries + DOUBT)
-    return b.random() < min(0.95, 1.0 - 2.0 * hit)
+    return state.random() < min(0.95, 1.0 - 2.0 * hit)
--- a/covetally/policy/quota.py
+++ b/covetally/policy/quota.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from covetally.interface import Allotted
+from covetally.interface import QuotaUpdate
 
 
 class Quota:
@@ -11,19 +11,19 @@
 
     __slots__ = ("asked", "at", "told", "tokens")
 
-    def __init__(self, told: Allotted, now: int) -> None:
+    def __init__(self, told: QuotaUpdate, now: int) -> None:
         self.told, self.at, self.tokens = told, now, 0.0
         self.asked = 0  # calls that came, or most in flight at a time with the refused, since `demand` was read
 
     def amount(self, now: int) -> float:
         """What may be used now: a part that was lent has lapsed by this clock, whatever else was heard."""
         told = self.told
-        return (told.amount or 0.0) if now < told.until_ns else told.then
+        return (told.amount or 0.0) if now < told.until_ns else told.fallback
 
     def refill(self, now: int) -> None:
         """Save up what has come in, to what may be saved."""
         told, end = self.told, max(self.at, min(now, self.told.until_ns))
-        came = (end - self.at) * (told.amount or 0.0) + (now - end) * told.then
+        came = (end - self.at) * (told.amount or 0.0) + (now - end) * told.fallback
         self.tokens = min(self.tokens + came / 1e9, max(1.0, self.amount(now) * told.burst_s))
         self.at = now
 
--- a/covetally/policy/server.py
+++ b/covetally/policy/server.py
@@ -4,7 +4,7 @@
 
 from zlib import crc32
 
-from covetally.interface import Entry
+from covetally.interface import ServerEntry
 
 
 class Server:
@@ -18,62 +18,66 @@
         "up",
         "started",
         "inflight",
-        "k",
-        "figure",
-        "trial",
+        "steps",
+        "step_size",
+        "probing",
         "backoff",
         "retry_at",
-        "stretch",
+        "service_ratio",
         "wait",
-        "seen",
-        "bad",
-        "peak",
-        "used",
-        "slot",
-        "refused",
-        "gone",
-        "ceiling",
-        "late",
-        "fails",
-        "held",
-        "warned",
-        "turn",
+        "observed_at",
+        "failure_ratio",
+        "connections",
+        "last_used",
+        "available_index",
+        "connect_failures",
+        "removed",
+        "max_step_size",
+        "timeout_ratio",
+        "class_failures",
+        "upgraded",
+        "warned_classes",
+        "probe_turn",
         "phase",
-        "tried",
-        "joined",
-        "told_start",
+        "probed_at",
+        "connected_at",
+        "listed_start",
     )
 
-    def __init__(self, entry: Entry, figure: float) -> None:
+    def __init__(self, entry: ServerEntry, figure: float) -> None:
         self.name = entry.server
-        self.ceiling = figure
-        self.warned: tuple[int, ...] = ()  # classes for which the tier tells to try elsewhere first; -1: all
+        self.max_step_size = figure
+        self.warned_classes: tuple[
+            int, ...
+        ] = ()  # classes for which the tier tells to try elsewhere first; -1: all
         self.phase = crc32(entry.server.encode())  # with this sidecar's number: its turns of the fleet's
-        self.tried = self.joined = 0  # when last tried, and when a connection was last opened
-        self.turn = False  # the tier's one trial call there is this sidecar's
-        self.held = 0  # connections of another protocol that stand there: see "upgrade"
+        self.probed_at = self.connected_at = 0  # when last tried, and when a connection was last opened
+        self.probe_turn = False  # the tier's one trial call there is this sidecar's
+        self.upgraded = 0  # connections of another protocol that stand there: see "upgrade"
         self.inflight = 0
-        self.peak = 0  # connections open, as far as own calls in flight tell
-        self.used = 0  # when a connection was last used
-        self.slot = -1  # place in the list of servers under budget, -1 when not in it
+        self.connections = 0  # connections open, as far as own calls in flight tell
+        self.last_used = 0  # when a connection was last used
+        self.available_index = -1  # place in the list of servers under budget, -1 when not in it
         self.up = False
-        self.gone = False  # off the list: forgotten with its last outcome
-        self.told_start = -1  # as the list last had it, on whatever clock; -1: not on the list yet
+        self.removed = False  # off the list: forgotten with its last outcome
+        self.listed_start = -1  # as the list last had it, on whatever clock; -1: not on the list yet
         self.started = -1  # on this sidecar's clock: slow start counts from here
         self.reset()
 
     def reset(self) -> None:
         """A new process: nothing learned of the old one holds."""
-        self.k, self.figure = 1, self.ceiling
-        self.trial = False
+        self.steps, self.step_size = 1, self.max_step_size
+        self.probing = False
         self.backoff = self.retry_at = 0
-        self.stretch = self.wait = 0.0
-        self.seen = 0  # 0: never heard of, so the fleet's mean stands in
-        self.bad = 0.0  # share of late outcomes that were failures
-        self.late = 0.0  # share of late outcomes that were time-outs, while they teach nothing else
-        self.fails: dict[int, float] = {}  # by class: share of late outcomes that were failures or time-outs
-        self.refused = 0  # connections that failed since the last success
+        self.service_ratio = self.wait = 0.0
+        self.observed_at = 0  # 0: never heard of, so the fleet's mean stands in
+        self.failure_ratio = 0.0  # share of late outcomes that were failures
+        self.timeout_ratio = 0.0  # share of late outcomes that were time-outs, while they teach nothing else
+        self.class_failures: dict[
+            int, float
+        ] = {}  # by class: share of late outcomes that were failures or time-outs
+        self.connect_failures = 0  # connections that failed since the last success
 
     @property
     def budget(self) -> int:
-        return (int(self.k * self.figure) or 1) if self.k else 0
+        return (int(self.steps * self.step_size) or 1) if self.steps else 0
--- a/covetally/process.py
+++ b/covetally/process.py
@@ -18,7 +18,7 @@
 from typing import TYPE_CHECKING, Any, Protocol
 
 from covetally.configuration import NO_ROSTER, Configuration
-from covetally.interface import Directory
+from covetally.interface import ServerListUpdate
 from covetally.loop_monitor import LoopMonitor
 from covetally.net import early
 from covetally.net.clock import Clock
@@ -179,7 +179,7 @@
             except ListError as error:
                 log.warning("known: no usable list: %s", error)
         self.discovery.on_list = self._listed
-        self.discovery.on_failure = lambda: self.sidecar.directory(Directory("FAILED"))
+        self.discovery.on_failure = lambda: self.sidecar.directory(ServerListUpdate("FAILED"))
         self.peers.on_message = self._datagram
         if config.peer_listen is not None:
             await _bind("peer_listen", lambda: self.peers.listen(config.peer_listen))
@@ -229,7 +229,7 @@
     def _apply_update(self, news: ListUpdate, scope: str) -> None:
         # Upstream first: the module may submit to a server in the same breath as it hears of it.
         self.upstream.update(news.entries, news.whole)
-        self.sidecar.directory(Directory(scope, tuple(entry for entry, _ in news.entries)))
+        self.sidecar.directory(ServerListUpdate(scope, tuple(entry for entry, _ in news.entries)))
         if self.tier is not None:
             self.tier.listed(self.sidecar.zones())
 
--- a/covetally/simulator_adapter.py
+++ b/covetally/simulator_adapter.py
@@ -9,23 +9,23 @@
 from typing import TextIO
 
 from covetally.interface import (
-    Accept,
+    RequestReceived,
     Action,
-    Alarm,
-    Begun,
-    Defer,
-    Directory,
-    Entry,
+    TimerFired,
+    ResponseStarted,
+    SetTimer,
+    ServerListUpdate,
+    ServerEntry,
     Event,
     Fail,
-    Hangup,
-    Heard,
+    ClientDisconnected,
+    PeerMessage,
     Refuse,
-    Response,
-    Retract,
+    AttemptEnded,
+    CancelAttempt,
     Settings,
     SettingsError,
-    Signal,
+    SendToPeer,
     Submit,
     Subscribe,
 )
@@ -102,9 +102,9 @@
     return report
 
 
-def _accept(f: Fields) -> Accept:
+def _accept(f: Fields) -> RequestReceived:
     bits = _int(f, "bitmap", 0)
-    return Accept(
+    return RequestReceived(
         _text(f, "tid"),
         _int(f, "type", 0),
         _int(f, "ttlNs"),
@@ -115,8 +115,8 @@
     )
 
 
-def _response(f: Fields) -> Response:
-    return Response(
+def _response(f: Fields) -> AttemptEnded:
+    return AttemptEnded(
         _text(f, "tid"),
         _int(f, "how"),
         _int(f, "lagNs", 0),
@@ -130,15 +130,15 @@
 READERS: dict[str, Callable[[Fields], Event]] = {
     "accept": _accept,
     "response": _response,
-    "begun": lambda f: Begun(_text(f, "tid")),
-    "hangup": lambda f: Hangup(_text(f, "tid")),
-    "heard": lambda f: Heard(_bytes(f, "blob")),
-    "alarm": lambda f: Alarm(_int(f, "tag", 0)),
+    "begun": lambda f: ResponseStarted(_text(f, "tid")),
+    "hangup": lambda f: ClientDisconnected(_text(f, "tid")),
+    "heard": lambda f: PeerMessage(_bytes(f, "blob")),
+    "alarm": lambda f: TimerFired(_int(f, "tag", 0)),
 }
 
 
-def _entry(f: Fields) -> Entry:
-    return Entry(
+def _entry(f: Fields) -> ServerEntry:
+    return ServerEntry(
         _text(f, "server"),
         _int(f, "hall", 0),
         _int(f, "model", 0),
@@ -153,10 +153,10 @@
     Submit: lambda who, a: f"submit_to who={who} tid={a.tid} server={a.server} abandonAtNs={a.abandon_ns}\n",
     Refuse: lambda who, a: f"push_back who={who} tid={a.tid} holdOffNs={a.hold_off_ns}\n",
     Fail: lambda who, a: f"finish_error who={who} tid={a.tid}\n",
-    Retract: lambda who, a: f"retract who={who} tid={a.tid} go={a.attempt}\n",
+    CancelAttempt: lambda who, a: f"retract who={who} tid={a.tid} go={a.attempt}\n",
     Subscribe: lambda who, a: f"subscribe who={who} want=1\n",
-    Signal: lambda who, a: f"signal who={who} to={a.peer} blob={a.blob.hex() or '-'}\n",
-    Defer: lambda who, a: f"defer who={who} inNs={a.in_ns} tag={a.tag}\n",
+    SendToPeer: lambda who, a: f"signal who={who} to={a.peer} blob={a.blob.hex() or '-'}\n",
+    SetTimer: lambda who, a: f"defer who={who} inNs={a.delay_ns} tag={a.tag}\n",
 }
 
 
@@ -168,7 +168,7 @@
         self._sink = sink
         self._line_no = 0
         self._now = 0
-        self._rosters: dict[int, tuple[Entry, ...]] = {}
+        self._rosters: dict[int, tuple[ServerEntry, ...]] = {}
         self._instances: dict[int, Balancer] = {}
 
     def run(self) -> int:
@@ -224,7 +224,7 @@
         elif name == "crash_now":
             self._instances.pop(_int(_fields(line), "who"), None)
 
-    def _read_roster(self, count: int) -> tuple[Entry, ...]:
+    def _read_roster(self, count: int) -> tuple[ServerEntry, ...]:
         entries = []
         for _ in range(count):
             self._line_no, raw = next(self._source, (self._line_no, ""))
@@ -234,14 +234,14 @@
             entries.append(_entry(_fields(line)))
         return tuple(entries)
 
-    def _directory(self, fields: Fields) -> Directory:
+    def _directory(self, fields: Fields) -> ServerListUpdate:
         scope = _text(fields, "scope")
         if scope == "FAILED":
-            return Directory(scope)
+            return ServerListUpdate(scope)
         slot = _int(fields, "slot")
         if slot not in self._rosters:
             raise WireError(f"no roster has slot {slot}")
-        return Directory(scope, self._rosters[slot])
+        return ServerListUpdate(scope, self._rosters[slot])
 
     def _open(self, fields: Fields, out: list[str]) -> None:
         who = _int(fields, "who")
--- a/covetally/spoken.py
+++ b/covetally/spoken.py
@@ -13,7 +13,7 @@
 from covetally.caps.member import CLIENT, NODE, Use
 from covetally.caps.settings import Plan as CapsPlan
 from covetally.configuration import Configuration
-from covetally.interface import Allotted, Event, Settings
+from covetally.interface import QuotaUpdate, Event, Settings
 from covetally.net.clock import Clock
 from covetally.net.frontend import Frontend
 from covetally.net.sidecar import Sidecar
@@ -101,7 +101,7 @@
         self._marks = {cap.tenant: cap.rule.mark for cap in plan.caps if cap.kind == CLIENT}
         nodes = {cap.tenant for cap in plan.caps if cap.kind == NODE}
         for tenant in self._nodes - nodes:
-            self._sidecar.advise(Allotted(tenant, True, None))
+            self._sidecar.advise(QuotaUpdate(tenant, True, None))
         self._nodes = nodes
         if self._caps is None:
             self._gate = Gate(self._clock.now, self._usable, min(c.aim_ns for c in settings.classes))
@@ -114,7 +114,7 @@
 
     def _without_caps(self, now: int) -> None:
         for tenant in self._nodes:
-            self._sidecar.advise(Allotted(tenant, True, None))
+            self._sidecar.advise(QuotaUpdate(tenant, True, None))
         self._caps = self._gate = self._frontend.gate = None
         self._nodes, self._marks = set(), {}
 
--- a/covetally/tier/node.py
+++ b/covetally/tier/node.py
@@ -14,7 +14,7 @@
 from typing import Any, NamedTuple
 from zlib import crc32
 
-from covetally.interface import How
+from covetally.interface import AttemptStatus
 from covetally.tier.allowance import Allowance
 from covetally.tier.facts import Facts
 from covetally.tier.limits import Grant, Rule, Share, Usable, Want
@@ -114,7 +114,7 @@
             out += self._judge(now)
         return out
 
-    def outcome(self, now: int, server: str, how: How, cls: int, sent: int) -> None:
+    def outcome(self, now: int, server: str, how: AttemptStatus, cls: int, sent: int) -> None:
         """One of this member's own calls, sent then, has ended so."""
         if self._left or not self.site.verdicts:
             return
--- a/covetally/tier/shell.py
+++ b/covetally/tier/shell.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from covetally.interface import SECOND, Allotted, How, Warned
+from covetally.interface import SECOND, QuotaUpdate, AttemptStatus, TierWarning
 from covetally.tier.limits import Rule, Usable
 from covetally.tier.node import Datagram, Node, Site
 from covetally.tier.verdicts import Advice
@@ -25,7 +25,7 @@
 
     now: Callable[[], int]
     send: Callable[[int, bytes], None]
-    advise: Callable[[Warned | Allotted], None]
+    advise: Callable[[TierWarning | QuotaUpdate], None]
     demand: Callable[[], dict[tuple[int, bool], int]]
 
 
@@ -69,7 +69,7 @@
         """A datagram from a peer's address."""
         self._after(self.node.heard(self._parts.now(), sender, data))
 
-    def outcome(self, server: str, how: How, cls: int, sent_ns: int) -> None:
+    def outcome(self, server: str, how: AttemptStatus, cls: int, sent_ns: int) -> None:
         """An attempt has ended."""
         self.node.outcome(self._parts.now(), server, how, cls, sent_ns)
         self._set_timer()
@@ -84,7 +84,7 @@
         for name in [name for name in self._held if name not in {h.rule.name for h in held}]:
             gone = self._held[name]
             self._told.pop(name, None)
-            self._parts.advise(Allotted(gone.tenant, gone.rule.in_flight, None))
+            self._parts.advise(QuotaUpdate(gone.tenant, gone.rule.in_flight, None))
         self._held = {h.rule.name: h for h in held}
         self.node.resize(now, size, (h.rule for h in held))
         self._allot(now)
@@ -111,7 +111,7 @@
             self._advice, self._advised_at = advice, now
             back = tuple((name, now - ago) for name, ago in advice.back)
             avoid = tuple((judged.server, judged.cls) for judged in advice.avoid)
-            self._parts.advise(Warned(now + LASTS_NS, avoid, advice.zones, advice.turns, back))
+            self._parts.advise(TierWarning(now + LASTS_NS, avoid, advice.zones, advice.turns, back))
         if self._held:
             self._allot(now)
         self._set_timer()
@@ -121,7 +121,7 @@
             if usable != self._told.get(name):
                 self._told[name] = usable
                 held = self._held[name]
-                self._parts.advise(Allotted(held.tenant, held.rule.in_flight, *usable, held.rule.burst_s))
+                self._parts.advise(QuotaUpdate(held.tenant, held.rule.in_flight, *usable, held.rule.burst_s))
 
     def _look(self, now: int) -> None:
         """What was wanted of each limit since the last look."""
--- a/covetally/tier/verdicts.py
+++ b/covetally/tier/verdicts.py
@@ -30,7 +30,7 @@
 from typing import NamedTuple
 from zlib import crc32
 
-from covetally.interface import How
+from covetally.interface import AttemptStatus
 from covetally.tier.facts import LASTS_NS, Facts, Said, What, Word
 
 MS = 1_000_000
@@ -154,36 +154,38 @@
             for zone, silent in self._silent.items()
         }
 
-    def outcome(self, now: int, server: str, how: How, cls: int, sent: int) -> None:
+    def outcome(self, now: int, server: str, how: AttemptStatus, cls: int, sent: int) -> None:
         """How one of this member's own calls ended that was sent then."""
         zone = self._nodes.zones.get(server)
-        if zone is None or how in (How.CANCELLED, How.MOOT):
+        if zone is None or how in (AttemptStatus.CANCELLED, AttemptStatus.NOT_SENT):
             return
         mark = crc32(server.encode())
         for (of, _), verdict in self._verdicts.items():
             if of == mark and sent >= verdict.tried:
                 verdict.turn = False  # one call each
                 self._touched.add(mark)
-        if how in (How.OK, How.FULL, How.ERROR, How.SPOILT):
+        if how in (AttemptStatus.OK, AttemptStatus.FULL, AttemptStatus.ERROR, AttemptStatus.UNUSABLE_RESPONSE):
             self._answered(now, server, mark, zone, cls, sent, how)
-        if how is How.OK or how is How.FULL:
+        if how is AttemptStatus.OK or how is AttemptStatus.FULL:
             return
-        if how in (How.TIMEOUT, How.CONNECT_FAILED):
+        if how in (AttemptStatus.TIMEOUT, AttemptStatus.CONNECT_FAILED):
             self._unanswered(now, server, zone, sent)
-        if how in (How.TIMEOUT, How.RESET):
+        if how in (AttemptStatus.TIMEOUT, AttemptStatus.RESET):
             # A queue shows as the first, a link as the second, and what all are told to leave alone is capacity
             # that all need: measured, see docs/design/tier.md.
             return
-        if how is How.CONNECT_FAILED:
+        if how is AttemptStatus.CONNECT_FAILED:
             self._failed(now, server, mark, ALL, True)
         else:
             self._failed(now, server, mark, cls, False)
 
-    def _answered(self, now: int, server: str, mark: int, zone: int, cls: int, sent: int, how: How) -> None:
+    def _answered(
+        self, now: int, server: str, mark: int, zone: int, cls: int, sent: int, how: AttemptStatus
+    ) -> None:
         self._spoke[zone] = max(self._spoke.get(zone, 0), sent)
         self._silent.pop(zone, None)
         self._contradict(now, What.ZONE, self._marks.get(zone, 0), 0, sent)
-        for about in (ALL, cls) if how in (How.OK, How.FULL) else (ALL,):
+        for about in (ALL, cls) if how in (AttemptStatus.OK, AttemptStatus.FULL) else (ALL,):
             own = self._own.pop((server, about), None)
             self._contradict(now, What.NODE, mark, about + 1, sent)
             if about == ALL and own is not None and own.ended and own.points:
--- a/covetally/workers/member.py
+++ b/covetally/workers/member.py
@@ -59,7 +59,7 @@
             server_connections=part(whole.server_connections, place, count),
             body_memory=part(whole.body_memory, place, count),
             peer_listen=whole.peer_listen if self.first else None,
-            settings=replace(whole.settings, part=1.0 / count),
+            settings=replace(whole.settings, budget_share=1.0 / count),
         )
 
     def own(self, values: Values) -> Values:
--- a/tests/crossings/test_customers.py
+++ b/tests/crossings/test_customers.py
@@ -8,8 +8,8 @@
 from hypothesis import settings as profile
 from hypothesis import strategies as st
 
-from covetally.interface import Directory, Entry, Settings
-from tests.support import MS, Paper
+from covetally.interface import ServerListUpdate, ServerEntry, Settings
+from tests.support import MS, BalancerHarness
 from tests.test_balance_properties import SERVERS, STEPS, play
 
 TIMES_MS = st.integers(1, 3_000)
@@ -66,9 +66,11 @@
 @given(sites(), st.lists(STEPS, max_size=50), st.integers(0, 2**32))
 def test_the_rules_hold_under_settings_that_nobody_knows(raw, steps, seed):
     config = Settings.parse(raw)
-    paper = Paper(config, SERVERS, seed)
+    harness = BalancerHarness(config, SERVERS, seed)
     zones = max(1, len(config.zones))
-    paper.feed(Directory("FULL", tuple(Entry(f"s{i}", i % zones, cell=i // 3) for i in range(SERVERS))))
+    harness.feed(
+        ServerListUpdate("FULL", tuple(ServerEntry(f"s{i}", i % zones, cell=i // 3) for i in range(SERVERS)))
+    )
     count = len(config.classes)
     steps = [(n, number % count if n == "accept" else number, what) for n, number, what in steps]
-    play(paper, [step for step in steps if step[0] != "retune"])
+    play(harness, [step for step in steps if step[0] != "retune"])
--- a/tests/crossings/test_leaving.py
+++ b/tests/crossings/test_leaving.py
@@ -38,10 +38,10 @@
 
 def nothing_is_held(here: Place) -> bool:
     """Of requests, attempts, places in the queue and budgets."""
-    book = here.balancer.book
+    state = here.balancer.state
     return not (
-        here.sidecar._calls or book.calls or book.held or book.attempts or here.frontend._clients
-        or any(server.inflight for server in book.servers.values())
+        here.sidecar._calls or state.calls or state.queue or state.attempts or here.frontend._clients
+        or any(server.inflight for server in state.servers.values())
         or any(server.unsent for server in here.upstream._servers.values())
     )  # fmt: skip
 
@@ -108,9 +108,9 @@
             trial.send(request("trial"))
             await until(lambda: len(here.servers["s0"].got) == 2)
             waits.send(request("waits"))
-            await until(lambda: here.balancer.book.held)
+            await until(lambda: here.balancer.state.queue)
             leave(waits, way)
-            await until(lambda: not here.balancer.book.held)
+            await until(lambda: not here.balancer.state.queue)
             leave(first, "end")
             leave(trial, "end")
             await until(lambda: nothing_is_held(here))
--- a/tests/crossings/test_list.py
+++ b/tests/crossings/test_list.py
@@ -9,15 +9,15 @@
 
 import pytest
 
-from covetally.interface import Directory
+from covetally.interface import ServerListUpdate
 from covetally.net import asking
 from covetally.net.discovery import Discovery
 from covetally.net.server_list import ListUpdate
-from covetally.policy.server_list import ASK_GAP
+from covetally.policy.server_list import MEAN_SUBSCRIBE_DELAY
 from tests.loopback import Server, answer, place, until
-from tests.support import MS, Paper, settings
+from tests.support import MS, BalancerHarness, settings
 
-LONGEST_S = 1.8 * ASK_GAP / 1e9
+LONGEST_S = 1.8 * MEAN_SUBSCRIBE_DELAY / 1e9
 
 
 def members(generation: int, *lifecycles: str, whole: bool = True) -> bytes:
@@ -42,13 +42,13 @@
     gaps = []
     for seed in range(8):
         invariants = {"mustAskInNs": must_ask_s * 1_000 * MS}
-        paper = Paper(settings(discovery="subscribe", invariants=invariants), seed=seed)
+        harness = BalancerHarness(settings(discovery="subscribe", invariants=invariants), seed=seed)
         for _ in range(12):
-            start, asks = paper.now, paper.asks
-            while paper.asks == asks:
-                paper.advance(10 * MS)
-            gaps.append((paper.now - start) / 1e9)
-            paper.feed(Directory("FAILED"))
+            start, asks = harness.now, harness.subscriptions
+            while harness.subscriptions == asks:
+                harness.advance(10 * MS)
+            gaps.append((harness.now - start) / 1e9)
+            harness.feed(ServerListUpdate("FAILED"))
     assert max(gaps) <= LONGEST_S + 0.02
     assert len({round(gap, 2) for gap in gaps}) > 30, "drawn: a crowd does not come as one"
 
@@ -76,15 +76,15 @@
             server = Server(discover)
             await server.start()
             told: list[tuple[float, ListUpdate]] = []
-            discovery = Discovery(here.sidecar._balancer.book.settings, server.address)
+            discovery = Discovery(here.sidecar._balancer.state.settings, server.address)
             discovery.on_list = lambda news: (
                 told.append((time.monotonic(), news)),
-                here.sidecar.directory(Directory("FULL", tuple(entry for entry, _ in news.entries))),
+                here.sidecar.directory(ServerListUpdate("FULL", tuple(entry for entry, _ in news.entries))),
             )
-            discovery.on_failure = lambda: here.sidecar.directory(Directory("FAILED"))
+            discovery.on_failure = lambda: here.sidecar.directory(ServerListUpdate("FAILED"))
             here.sidecar._subscribe = discovery.subscribe
-            here.balancer.book.random = lambda: 0.999
-            here.sidecar.directory(Directory("FAILED"))
+            here.balancer.state.random = lambda: 0.999
+            here.sidecar.directory(ServerListUpdate("FAILED"))
             await until(lambda: told)
             state["ok"] = False
             if failure == "refused":
@@ -132,7 +132,7 @@
             server = Server(discover)
             await server.start()
             told: list[float] = []
-            discovery = Discovery(here.sidecar._balancer.book.settings, server.address)
+            discovery = Discovery(here.sidecar._balancer.state.settings, server.address)
             discovery.on_list = lambda news: told.append(time.monotonic())
             discovery.on_failure = lambda: None
             discovery.start()
@@ -171,7 +171,7 @@
             server = Server(discover)
             await server.start()
             told: list[ListUpdate] = []
-            discovery = Discovery(here.sidecar._balancer.book.settings, server.address)
+            discovery = Discovery(here.sidecar._balancer.state.settings, server.address)
             discovery.on_list = told.append
             discovery.start()
             await until(lambda: told)
--- a/tests/crossings/test_retrying.py
+++ b/tests/crossings/test_retrying.py
@@ -7,11 +7,11 @@
 
 import pytest
 
-from covetally.interface import How, Submit
+from covetally.interface import AttemptStatus, Submit
 from covetally.net import sidecar, upstream
 from tests.crossings.test_leaving import slow_to_come_up
 from tests.loopback import fine, place, read_message, request, until
-from tests.support import MS, Paper, settings
+from tests.support import MS, BalancerHarness, settings
 
 CLASSES = [
     {
@@ -22,20 +22,20 @@
 LIMITS = {"maxAttempts": 4, "connectTimeoutNs": 2_000 * MS}
 
 
-def submits(paper: Paper, actions) -> list[Submit]:
+def submits(harness: BalancerHarness, actions) -> list[Submit]:
     return [action for action in actions if isinstance(action, Submit)]
 
 
 def test_a_keyed_repeat_says_by_when_it_has_to_begin():
-    paper = Paper(settings(limits={"maxAttempts": 4}), servers=4)
+    harness = BalancerHarness(settings(limits={"maxAttempts": 4}), servers=4)
     for cls, guarded in ((2, True), (0, False)):
-        tid = paper.accept(cls)
-        sent_ns = paper.now
-        assert paper.history[tid][0][1] == sent_ns
-        paper.advance(50 * MS)
-        (again,) = submits(paper, paper.answer(tid, 0, How.RESET))
+        tid = harness.accept(cls)
+        sent_ns = harness.now
+        assert harness.history[tid][0][1] == sent_ns
+        harness.advance(50 * MS)
+        (again,) = submits(harness, harness.answer(tid, 0, AttemptStatus.RESET))
         assert again.begin_by_ns == (sent_ns + 400 * MS if guarded else 0)
-        paper.answer(tid, 1)
+        harness.answer(tid, 1)
 
 
 def test_a_keyed_repeat_whose_connection_comes_up_past_its_window_is_not_begun():
@@ -96,7 +96,7 @@
                 here.tell({"s1": other}, "INCREMENTAL")
                 here.tell({"s0": slow}, "INCREMENTAL", "draining")
                 assert (await asks).endswith(b"for r1")
-                assert here.balancer.book.servers["s0"].refused == 0
+                assert here.balancer.state.servers["s0"].connect_failures == 0
             assert not any(got)
 
     asyncio.run(main())
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -8,7 +8,7 @@
 from contextlib import asynccontextmanager
 from typing import Any
 
-from covetally.interface import Directory, Entry
+from covetally.interface import ServerListUpdate, ServerEntry
 from covetally.net.clock import Clock
 from covetally.net.closing import CloseReason
 from covetally.net.frontend import Frontend, bound
@@ -107,9 +107,9 @@
         self.address: tuple[str, int]
 
     def tell(self, servers: dict[str, Server], scope: str = "FULL", lifecycle: str = "up") -> None:
-        entries = [(Entry(name, lifecycle=lifecycle), s.address) for name, s in servers.items()]
+        entries = [(ServerEntry(name, lifecycle=lifecycle), s.address) for name, s in servers.items()]
         self.upstream.update(entries, scope == "FULL")
-        self.sidecar.directory(Directory(scope, tuple(entry for entry, _ in entries)))
+        self.sidecar.directory(ServerListUpdate(scope, tuple(entry for entry, _ in entries)))
 
     async def connect(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
         return await asyncio.open_connection(*self.address)
--- a/tests/membership/test_parts.py
+++ b/tests/membership/test_parts.py
@@ -9,7 +9,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from covetally.interface import Entry, Suspect
+from covetally.interface import ServerEntry, ServerUnresponsive
 from covetally.membership import keep
 from covetally.membership.file import File, FileError, read_nodes
 from covetally.membership.http import credentials
@@ -20,7 +20,7 @@
 from covetally.operator import files
 from covetally.operator.url import split_url
 from tests.membership.standin import run
-from tests.support import MS, Paper, settings
+from tests.support import MS, BalancerHarness, settings
 
 MEMBERS = [Member("n1", ("10.0.0.1", 80), LEAVING, "drain", "a", "k", 3, 0.5, 1, 2, 3, 4)]
 
@@ -42,14 +42,14 @@
 
 
 def test_the_balancer_takes_a_suspect_out_and_brings_it_back_by_a_trial():
-    paper = Paper(servers=4)
-    paper.feed(Suspect("s1"))
-    belief = {b.server: b for b in paper.balancer.beliefs(paper.now)}
+    harness = BalancerHarness(servers=4)
+    harness.feed(ServerUnresponsive("s1"))
+    belief = {b.server: b for b in harness.balancer.server_statuses(harness.now)}
     assert belief["s1"].k == 0 and belief["s1"].why == "in backoff" and belief["s0"].k == 1
-    paper.feed(Suspect("s2"))
-    paper.feed(Suspect("s3"))
-    paper.feed(Suspect("nobody"))
-    ks = [b.k for b in paper.balancer.beliefs(paper.now)]
+    harness.feed(ServerUnresponsive("s2"))
+    harness.feed(ServerUnresponsive("s3"))
+    harness.feed(ServerUnresponsive("nobody"))
+    ks = [b.steps for b in harness.balancer.server_statuses(harness.now)]
     assert ks.count(0) == 2, "half of the servers stay, whatever is told"
 
 
@@ -144,7 +144,10 @@
 def test_the_platform_s_news_add_up():
     reads = []
     platform = Platform(settings(), None, reads.append)
-    one, two = (Entry("s1", zone=1, started_ns=7 * MS), ("10.0.0.1", 80)), (Entry("s2"), ("10.0.0.2", 80))
+    one, two = (
+        (ServerEntry("s1", zone=1, started_ns=7 * MS), ("10.0.0.1", 80)),
+        (ServerEntry("s2"), ("10.0.0.2", 80)),
+    )
     platform.learn(ListUpdate(1, False, [one]))
     assert not reads[-1].clean, "the whole list is still to come"
     platform.learn(ListUpdate(2, True, [one, two]))
--- a/tests/overload/test_pressure.py
+++ b/tests/overload/test_pressure.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from covetally.interface import SECOND, How, Response, Settings
+from covetally.interface import SECOND, AttemptStatus, AttemptEnded, Settings
 from covetally.overload.pressure import LATE, WINDOW_NS, WINDOWS, Pressure
 from covetally.rig.site import settings
 
@@ -12,8 +12,8 @@
 REPORT = {"queue": 10.0, "qps": 100.0}  # a tenth of a second
 
 
-def response(how: int = How.OK, load: dict[str, float] | None = None) -> Response:
-    return Response("t", how, 0, "s", 0, True, load or {})
+def response(how: int = AttemptStatus.OK, load: dict[str, float] | None = None) -> AttemptEnded:
+    return AttemptEnded("t", how, 0, "s", 0, True, load or {})
 
 
 def turned(pressure: Pressure, now: int, times: int = 1) -> int:
@@ -45,9 +45,16 @@
 
 @pytest.mark.parametrize(
     "how, late, counts, is_late",
-    [(How.OK, False, 1, 0), (How.OK, True, 1, 1), (How.TIMEOUT, False, 1, 1), (How.FULL, False, 1, 1),
-     (How.CANCELLED, True, 0, 0), (How.MOOT, True, 0, 0), (How.CONNECT_FAILED, True, 0, 0)],
-)  # fmt: skip
+    [
+        (AttemptStatus.OK, False, 1, 0),
+        (AttemptStatus.OK, True, 1, 1),
+        (AttemptStatus.TIMEOUT, False, 1, 1),
+        (AttemptStatus.FULL, False, 1, 1),
+        (AttemptStatus.CANCELLED, True, 0, 0),
+        (AttemptStatus.NOT_SENT, True, 0, 0),
+        (AttemptStatus.CONNECT_FAILED, True, 0, 0),
+    ],
+)
 def test_late_calls_tell_the_load_where_no_node_reports_a_queue(how, late, counts, is_late):
     pressure = Pressure(CONFIG, 0)
     pressure.outcome(response(how), late)
--- a/tests/support.py
+++ b/tests/support.py
@@ -1,21 +1,21 @@
-"""A bookkeeper around one balancer: carries out its actions on paper and asserts the rules on each."""
+"""A bookkeeper around one balancer: carries out its actions on harness and asserts the rules on each."""
 
 from __future__ import annotations
 
 from typing import Any
 
 from covetally.interface import (
-    NEVER_RAN,
-    Accept,
-    Alarm,
-    Defer,
-    Directory,
-    Ending,
-    Entry,
+    NOT_EXECUTED,
+    RequestReceived,
+    TimerFired,
+    SetTimer,
+    ServerListUpdate,
+    Shutdown,
+    ServerEntry,
     Fail,
-    Hangup,
+    ClientDisconnected,
     Refuse,
-    Response,
+    AttemptEnded,
     Settings,
     Submit,
     Subscribe,
@@ -51,35 +51,35 @@
     return base | more
 
 
-def fleet(count: int, **fields: Any) -> tuple[Entry, ...]:
+def fleet(count: int, **fields: Any) -> tuple[ServerEntry, ...]:
     """Servers s0, s1, ...: alternating zones, cells of four."""
-    return tuple(Entry(f"s{i}", zone=i % 2, cell=i // 4)._replace(**fields) for i in range(count))
+    return tuple(ServerEntry(f"s{i}", zone=i % 2, cell=i // 4)._replace(**fields) for i in range(count))
 
 
-class Paper:
+class BalancerHarness:
     """One balancer and what is owed to whom."""
 
     def __init__(self, config: Settings | None = None, servers: int = 6, seed: int = 1, scope: str = "SAVED"):
         self.config = config or settings()
         self.now = START
         self.balancer = Balancer(self.config, seed, self.now)
-        self.entries: dict[str, Entry] = {}
+        self.entries: dict[str, ServerEntry] = {}
         self.gone: set[str] = set()
-        self.owed: dict[str, Accept] = {}
+        self.owed: dict[str, RequestReceived] = {}
         self.deadline: dict[str, int] = {}
-        self.finals: dict[str, Any] = {}
-        self.out: dict[tuple[str, int], tuple[str, int, int]] = {}  # server, sent, abandon
+        self.final_answers: dict[str, Any] = {}
+        self.outstanding: dict[tuple[str, int], tuple[str, int, int]] = {}  # server, sent, abandon
         self.history: dict[str, list[tuple[str, int, int | None]]] = {}  # server, sent, outcome
         self.timers: list[tuple[int, int]] = []
-        self.asks = 0
+        self.subscriptions = 0
         self.serial = 0
         if servers:
-            self.feed(Directory(scope, fleet(servers)))
+            self.feed(ServerListUpdate(scope, fleet(servers)))
 
     # events
 
     def feed(self, event: Any) -> list[Any]:
-        if isinstance(event, Directory) and event.scope != "FAILED":
+        if isinstance(event, ServerListUpdate) and event.scope != "FAILED":
             if event.scope != "INCREMENTAL":
                 self.gone |= set(self.entries) - {e.server for e in event.entries}
             for entry in event.entries:
@@ -94,14 +94,14 @@
         """Accept one plain request and return the actions."""
         tid = f"a{self.serial:015x}"
         self.serial += 1
-        self.owed[tid] = event = Accept(tid, 0, 800 * MS)
+        self.owed[tid] = event = RequestReceived(tid, 0, 800 * MS)
         self.deadline[tid], self.history[tid] = self.now + 800 * MS, []
         return self.feed(event)
 
     def accept(self, cls: int = 0, ttl: int = 800 * MS, **more: Any) -> str:
         self.serial += 1
         tid = f"{self.serial:016x}"
-        event = Accept(tid, cls, ttl, **more)
+        event = RequestReceived(tid, cls, ttl, **more)
         self.owed[tid], self.deadline[tid], self.history[tid] = event, self.now + ttl, []
         self.feed(event)
         return tid
@@ -109,39 +109,41 @@
     def end_by(self, end: int) -> None:
         """The process ends: nothing that is owed now is answered later than this."""
         self.deadline |= {tid: min(self.deadline[tid], end) for tid in self.owed}
-        self.feed(Ending(end))
-
-    def answer(self, tid: str, go: int, how: int = 100, lag: int | None = None, **load: float) -> list[Any]:
-        server, sent, _ = self.out.pop((tid, go))
-        self.history[tid][go] = (server, sent, how)
-        closed = tid not in self.owed or how == 100
-        if how == 100 and tid in self.owed:
+        self.feed(Shutdown(end))
+
+    def answer(
+        self, tid: str, attempt: int, status: int = 100, latency: int | None = None, **load: float
+    ) -> list[Any]:
+        server, sent, _ = self.outstanding.pop((tid, attempt))
+        self.history[tid][attempt] = (server, sent, status)
+        closed = tid not in self.owed or status == 100
+        if status == 100 and tid in self.owed:
             self._final(tid, "served")
-        lag = self.now - sent if lag is None else lag
-        return self.feed(Response(tid, how, lag, server, go, closed, load))
+        latency = self.now - sent if latency is None else latency
+        return self.feed(AttemptEnded(tid, status, latency, server, attempt, closed, load))
 
     def hang_up(self, tid: str) -> None:
         if self.owed.pop(tid, None):
-            self.finals[tid] = "left"
-        self.feed(Hangup(tid))
+            self.final_answers[tid] = "left"
+        self.feed(ClientDisconnected(tid))
 
     def advance(self, by: int) -> None:
         """Let time pass: timers and time-outs come due in order."""
         end = self.now + by
         while True:
             due = [(at, 0, tag) for at, tag in self.timers]
-            for (tid, go), (_, _, abandon) in self.out.items():
-                due.append((min(abandon or end + 1, self.deadline[tid]), 1, (tid, go)))
+            for (tid, attempt), (_, _, abandon) in self.outstanding.items():
+                due.append((min(abandon or end + 1, self.deadline[tid]), 1, (tid, attempt)))
             due = [d for d in due if d[0] <= end]
             if not due:
                 break
             at, kind, what = min(due, key=lambda d: (d[0], d[1], str(d[2])))
             self.now = max(self.now, at)
             if kind:
-                self.answer(*what, how=303)
+                self.answer(*what, status=303)
             else:
                 self.timers.remove((at, what))
-                self.feed(Alarm(what))
+                self.feed(TimerFired(what))
             self.check_deadlines()
         self.now = end
         self.check_deadlines()
@@ -152,7 +154,7 @@
         return [server for server, _, _ in self.history[tid]]
 
     def server(self, name: str):
-        return self.balancer.book.servers[name]
+        return self.balancer.state.servers[name]
 
     # rules
 
@@ -164,27 +166,27 @@
         assert tid in self.owed, f"rule 1: second final answer for {tid}: {what}"
         assert self.now <= self.deadline[tid] + self.config.invariants.answer_grace_ns
         del self.owed[tid]
-        self.finals[tid] = what
+        self.final_answers[tid] = what
 
     def _carry_out(self, action: Any) -> None:
         match action:
             case Submit():
                 self._check_send(action)
-                go = len(self.history[action.tid])
+                attempt = len(self.history[action.tid])
                 self.history[action.tid].append((action.server, self.now, None))
-                self.out[action.tid, go] = (action.server, self.now, action.abandon_ns)
+                self.outstanding[action.tid, attempt] = (action.server, self.now, action.abandon_ns)
             case Refuse():
                 self._check_refusal(action.tid)
                 self._final(action.tid, "refused")
             case Fail():
                 self._final(action.tid, "failed")
-            case Defer():
-                self.timers.append((self.now + max(action.in_ns, 1), action.tag))
+            case SetTimer():
+                self.timers.append((self.now + max(action.delay_ns, 1), action.tag))
             case Subscribe():
-                self.asks += 1
+                self.subscriptions += 1
 
     def _may_have_run(self, tid: str) -> list[tuple[str, int, int | None]]:
-        return [a for a in self.history[tid] if a[2] not in NEVER_RAN]
+        return [a for a in self.history[tid] if a[2] not in NOT_EXECUTED]
 
     def _check_send(self, action: Submit) -> None:
         tid = action.tid
@@ -192,8 +194,8 @@
         assert action.server in self.entries, "a server never named to this instance"
         assert action.server not in self.gone, "rule 3: send to a server that drains or is gone"
         assert len(self.history[tid]) < self.config.limits.max_attempts
-        if not self.config.limits.second_copies:
-            assert all(how is not None for _, _, how in self.history[tid]), "rule 2: two attempts out"
+        if not self.config.limits.hedging:
+            assert all(status is not None for _, _, status in self.history[tid]), "rule 2: two attempts out"
         cls, ran = self.config.classes[self.owed[tid].cls], self._may_have_run(tid)
         if cls.repeat == "single_shot":
             assert not ran, "rule 2: a single-shot request may run twice"
--- a/tests/test_balance_properties.py
+++ b/tests/test_balance_properties.py
@@ -8,8 +8,8 @@
 from hypothesis import settings as profile
 from hypothesis import strategies as st
 
-from covetally.interface import Begun, Directory, Entry, Hangup, Response
-from tests.support import MS, Paper, fleet, settings
+from covetally.interface import ResponseStarted, ServerListUpdate, ServerEntry, ClientDisconnected, AttemptEnded
+from tests.support import MS, BalancerHarness, fleet, settings
 
 SERVERS = 8
 
@@ -28,41 +28,43 @@
 )
 
 
-def play(paper: Paper, steps: list[tuple[str, int, object]]) -> None:
+def play(harness: BalancerHarness, steps: list[tuple[str, int, object]]) -> None:
     for name, number, what in steps:
         if name == "accept":
-            paper.accept(number, ttl=what * MS, key=f"k{what % 5}")
+            harness.accept(number, ttl=what * MS, key=f"k{what % 5}")
         elif name == "retune":
             classes = tuple(
-                replace(c, aim_ns=what * MS // 3, deadline_ns=what * MS) for c in paper.config.classes
+                replace(c, aim_ns=what * MS // 3, deadline_ns=what * MS) for c in harness.config.classes
             )
-            limits = replace(paper.config.limits, max_attempts=number)
-            paper.config = replace(paper.config, classes=classes, limits=limits)
-            paper.balancer.retune(paper.config)
-        elif name == "answer" and paper.out:
-            which = sorted(paper.out)[number % len(paper.out)]
-            paper.answer(*which, how=what, queue=float(number), latency_ms=20.0)
+            limits = replace(harness.config.limits, max_attempts=number)
+            harness.config = replace(harness.config, classes=classes, limits=limits)
+            harness.balancer.reconfigure(harness.config)
+        elif name == "answer" and harness.outstanding:
+            which = sorted(harness.outstanding)[number % len(harness.outstanding)]
+            harness.answer(*which, status=what, queue=float(number), latency_ms=20.0)
         elif name == "end":
-            paper.end_by(paper.now + number * MS)
+            harness.end_by(harness.now + number * MS)
         elif name == "advance":
-            paper.advance(number * MS)
+            harness.advance(number * MS)
         elif name == "list":
-            started = paper.now if what == "restart" else 0
+            started = harness.now if what == "restart" else 0
             lifecycle = "up" if what == "restart" else what
-            entry = Entry(f"s{number}", number % 2, 0, number // 4, lifecycle, 1.0, started)
-            paper.feed(Directory("INCREMENTAL", (entry,)))
+            entry = ServerEntry(f"s{number}", number % 2, 0, number // 4, lifecycle, 1.0, started)
+            harness.feed(ServerListUpdate("INCREMENTAL", (entry,)))
         elif name == "full":
-            paper.feed(Directory("FULL", tuple(e for i, e in enumerate(fleet(SERVERS)) if number >> i & 1)))
-        elif name == "leave" and paper.owed:
-            paper.hang_up(sorted(paper.owed)[number % len(paper.owed)])
+            harness.feed(
+                ServerListUpdate("FULL", tuple(e for i, e in enumerate(fleet(SERVERS)) if number >> i & 1))
+            )
+        elif name == "leave" and harness.owed:
+            harness.hang_up(sorted(harness.owed)[number % len(harness.owed)])
         elif name == "unknown":
-            paper.feed(Hangup(f"{number:x}"))
-            paper.feed(Begun(f"{number:x}"))
-            paper.feed(Response(f"{number:x}", 100, 5, "s0", 0, True, {}))
-    paper.advance(2_000 * MS)
-    assert not paper.owed, "rule 1: requests left without an answer"
-    assert not paper.out
-    assert all(s.inflight == 0 and not s.trial for s in paper.balancer.book.servers.values()), "room leaked"
+            harness.feed(ClientDisconnected(f"{number:x}"))
+            harness.feed(ResponseStarted(f"{number:x}"))
+            harness.feed(AttemptEnded(f"{number:x}", 100, 5, "s0", 0, True, {}))
+    harness.advance(2_000 * MS)
+    assert not harness.owed, "rule 1: requests left without an answer"
+    assert not harness.outstanding
+    assert all(s.inflight == 0 and not s.probing for s in harness.balancer.state.servers.values()), "room leaked"
 
 
 def _laws(**changes):
@@ -71,7 +73,7 @@
     @profile(max_examples=120, derandomize=True, deadline=None, database=None)
     @given(st.lists(STEPS, max_size=60), st.integers(0, 2**32))
     def check(steps, seed):
-        play(Paper(config, SERVERS, seed), steps)
+        play(BalancerHarness(config, SERVERS, seed), steps)
 
     return check
 
@@ -86,7 +88,7 @@
 @profile(max_examples=40, derandomize=True, deadline=None, database=None)
 @given(st.lists(STEPS, max_size=40), st.integers(0, 2**32))
 def test_same_events_and_seed_give_the_same_actions(steps, seed):
-    first, second = Paper(servers=SERVERS, seed=seed), Paper(servers=SERVERS, seed=seed)
+    first, second = BalancerHarness(servers=SERVERS, seed=seed), BalancerHarness(servers=SERVERS, seed=seed)
     play(first, steps)
     play(second, steps)
     assert first.history == second.history
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -6,9 +6,9 @@
 import socket
 import time
 
-from covetally.interface import Accept, How, Refuse, Response
+from covetally.interface import RequestReceived, AttemptStatus, Refuse, AttemptEnded
 from tests.loopback import answer, fine, place, read_message, request, traces, until
-from tests.support import MS, Paper, settings
+from tests.support import MS, BalancerHarness, settings
 
 
 def events(here, kind):
@@ -26,13 +26,13 @@
 
 def outcomes(here):
     """Every outcome that the module is told, as they come."""
-    return events(here, Response)
+    return events(here, AttemptEnded)
 
 
 def test_time_in_the_kernel_and_the_backlog_counts_as_the_request_s():
     async def main():
         async with place(fine) as here:
-            told = events(here, Accept)
+            told = events(here, RequestReceived)
             with socket.create_connection(here.address) as client:
                 client.sendall(request(expires="0.8"))
                 time.sleep(0.3)  # the whole process stands still, its listener too
@@ -56,8 +56,8 @@
         async with place(stand_still) as here:
             told = outcomes(here)
             assert await here.status(request(cls="pay", expires="5")) == 200
-            assert told[0].how == How.OK
-            assert told[0].lag_ns < 150 * MS < told[0].own_ns
+            assert told[0].status == AttemptStatus.OK
+            assert told[0].latency_ns < 150 * MS < told[0].local_ns
 
     asyncio.run(main())
 
@@ -70,10 +70,10 @@
     async def main():
         async with place(stand_still) as here:
             told = outcomes(here)
-            here.balancer.book.tokens = 0.0  # no further attempt
+            here.balancer.state.retry_tokens = 0.0  # no further attempt
             await here.status(request(cls="pay", expires="0.95"))
             await until(lambda: told)
-            assert told[0].how != How.TIMEOUT
+            assert told[0].status != AttemptStatus.TIMEOUT
 
     asyncio.run(main())
 
@@ -84,13 +84,13 @@
     async def main():
         async with place(fine) as here:
             told = outcomes(here)
-            here.balancer.book.tokens = 0.0
+            here.balancer.state.retry_tokens = 0.0
             loop = asyncio.get_running_loop()
             monkeypatch.setattr(loop, "add_writer", lambda *_: None)  # as if the loop had no turn to spare for it
             await here.status(request(expires="0.3"))
             await until(lambda: told)
-            assert told[0].how == How.MOOT
-            assert here.balancer.book.servers["s0"].k
+            assert told[0].status == AttemptStatus.NOT_SENT
+            assert here.balancer.state.servers["s0"].steps
 
     asyncio.run(main())
 
@@ -102,10 +102,10 @@
     async def main():
         async with place(silent) as here:
             told = outcomes(here)
-            here.balancer.book.tokens = 0.0
+            here.balancer.state.retry_tokens = 0.0
             await here.status(request(expires="0.2"))
             await until(lambda: told)
-            assert told[0].how == How.TIMEOUT
+            assert told[0].status == AttemptStatus.TIMEOUT
 
     asyncio.run(main())
 
@@ -148,29 +148,29 @@
 
 
 def test_while_a_queue_stands_those_that_waited_long_are_refused_and_the_others_are_not():
-    balancer = Paper(settings(limits={"retryAfter": True, "maxRetryAfterNs": 700 * MS})).balancer
+    balancer = BalancerHarness(settings(limits={"retryAfter": True, "maxRetryAfterNs": 700 * MS})).balancer
     now, let_in = 5_000 * MS, []
     for _ in range(400):
         now += 2 * MS
-        let_in.append(balancer.glance(now, 100 * MS, False))
-        assert not balancer.glance(now, 70 * MS, False), "within a quarter of the aim"
+        let_in.append(balancer.overload_hold_off(now, 100 * MS, False))
+        assert not balancer.overload_hold_off(now, 70 * MS, False), "within a quarter of the aim"
     assert not any(let_in[:150]), "a burst"
     assert all(wait == 700 * MS for wait in let_in[-200:])
-    assert balancer.glance(now, 0, True) == 700 * MS, "whoever comes again"
+    assert balancer.overload_hold_off(now, 0, True) == 700 * MS, "whoever comes again"
     for _ in range(160):
         now += 2 * MS
-        assert not balancer.glance(now, 70 * MS, False)
+        assert not balancer.overload_hold_off(now, 70 * MS, False)
     assert not balancer.shedding, "none has waited so long for an aim"
-    assert not balancer.glance(now, 100 * MS, True)
+    assert not balancer.overload_hold_off(now, 100 * MS, True)
 
 
 def test_a_silence_ends_the_shedding():
-    balancer = Paper().balancer
+    balancer = BalancerHarness().balancer
     now = 5_000 * MS
     while not balancer.shedding:
         now += 2 * MS
-        balancer.glance(now, 100 * MS, False)
-    assert not balancer.glance(now + 5_000 * MS, 100 * MS, True)
+        balancer.overload_hold_off(now, 100 * MS, False)
+    assert not balancer.overload_hold_off(now + 5_000 * MS, 100 * MS, True)
     assert not balancer.shedding
 
 
@@ -205,10 +205,10 @@
 
 def test_with_all_servers_out_and_a_trial_under_way_clients_are_told_when_to_come():
     """A refusal without a time draws the next try at once."""
-    paper = Paper(settings(limits={"retryAfter": True, "maxRetryAfterNs": 700 * MS}), servers=1)
-    server = paper.server("s0")
-    server.k, server.trial, paper.balancer.book.live = 0, True, 0
-    told = paper.feed_accept()
+    harness = BalancerHarness(settings(limits={"retryAfter": True, "maxRetryAfterNs": 700 * MS}), servers=1)
+    server = harness.server("s0")
+    server.steps, server.probing, harness.balancer.state.live_count = 0, True, 0
+    told = harness.feed_accept()
     assert [type(action) for action in told] == [Refuse]
     assert told[0].hold_off_ns > 0
 
@@ -237,10 +237,10 @@
 
 def test_a_lone_request_that_waited_is_no_queue():
     """A sidecar with little traffic, or one that has just begun, that stands still for once."""
-    paper = Paper()
-    paper.advance(5_000 * MS)
+    harness = BalancerHarness()
+    harness.advance(5_000 * MS)
     for _ in range(3):
-        tid = paper.accept(age_ns=100 * MS)
-        assert (tid, 0) in paper.out
-        paper.answer(tid, 0)
-        paper.advance(5_000 * MS)
+        tid = harness.accept(age_ns=100 * MS)
+        assert (tid, 0) in harness.outstanding
+        harness.answer(tid, 0)
+        harness.advance(5_000 * MS)
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -9,12 +9,12 @@
 import httptools
 import pytest
 
-from covetally.interface import Directory, Entry, How, Response
+from covetally.interface import ServerListUpdate, ServerEntry, AttemptStatus, AttemptEnded
 from covetally.net import upstream
 from covetally.net.message import End, Reader, ResponseHead
-from covetally.policy.pick import preferred
+from covetally.policy.pick import is_better
 from tests.loopback import answer, fine, place, read_message, request, traces, until
-from tests.support import MS, Paper, settings
+from tests.support import MS, BalancerHarness, settings
 
 SPOILT = {
     "noise": b"\x8e\xfb\x00\xff\r\n\r\n\r\n",
@@ -47,10 +47,10 @@
 
     async def main():
         async with place(spoil) as here:
-            here.balancer.book.tokens = 0.0  # no further attempt
+            here.balancer.state.retry_tokens = 0.0  # no further attempt
             assert await here.status(request(cls="pay")) == 502
-            server = here.balancer.book.servers["s0"]
-            assert (server.k, server.inflight) == (1, 0)
+            server = here.balancer.state.servers["s0"]
+            assert (server.steps, server.inflight) == (1, 0)
             here.servers["s0"].script = fine
             assert (await here.ask(request("next"))).endswith(b"for next")
             assert here.upstream._open == 1, "the spoilt connection is gone"
@@ -59,99 +59,99 @@
 
 
 def test_a_streak_of_spoilt_answers_is_the_server_s_own():
-    paper = Paper(servers=1)
-    server = paper.server("s0")
-    paper.balancer.book.heard = 1e6
+    harness = BalancerHarness(servers=1)
+    server = harness.server("s0")
+    harness.balancer.state.recent_requests = 1e6
     for spoilt in range(3):
-        assert server.k == 1, f"convicted after {spoilt}"
-        paper.answer(paper.accept(cls=1), 0, how=308, lag=20_000_000)
-    assert server.k == 0
+        assert server.steps == 1, f"convicted after {spoilt}"
+        harness.answer(harness.accept(cls=1), 0, status=308, latency=20_000_000)
+    assert server.steps == 0
 
 
 def test_servers_at_k_zero_come_back_where_aims_are_shorter_than_the_connect_timeout():
     """No call had the time to spare that a trial asked for, so none was ever sent and all stayed out."""
     limits = {"maxAttempts": 4, "connectTimeoutNs": 400 * MS}
     for dead in ({"s0"}, {"s0", "s1"}):
-        paper = Paper(settings(limits=limits), servers=2)
+        harness = BalancerHarness(settings(limits=limits), servers=2)
         for name in dead:
-            paper.server(name).k = 0
-        paper.balancer.book.live = 2 - len(dead)
+            harness.server(name).k = 0
+        harness.balancer.state.live_count = 2 - len(dead)
         for _ in range(300):
-            tid = paper.accept()
-            if paper.history[tid] and (tid, 0) in paper.out:
-                paper.answer(tid, 0, lag=20 * MS)
-            paper.advance(10 * MS)
-        assert all(paper.server(name).k for name in dead)
+            tid = harness.accept()
+            if harness.history[tid] and (tid, 0) in harness.outstanding:
+                harness.answer(tid, 0, latency=20 * MS)
+            harness.advance(10 * MS)
+        assert all(harness.server(name).k for name in dead)
 
 
 @pytest.mark.parametrize("how", [301, 305])
 def test_with_many_calls_a_lone_failure_is_no_verdict_and_some_in_a_row_are(how):
-    paper = Paper(servers=1)
-    server = paper.server("s0")
-    paper.balancer.book.heard = 1e6
-    paper.answer(paper.accept(cls=1), 0, how=how)
-    assert server.k == 1
-    paper.answer(paper.accept(cls=1), 0, how=how)
-    assert server.k == 0
+    harness = BalancerHarness(servers=1)
+    server = harness.server("s0")
+    harness.balancer.state.recent_requests = 1e6
+    harness.answer(harness.accept(cls=1), 0, status=how)
+    assert server.steps == 1
+    harness.answer(harness.accept(cls=1), 0, status=how)
+    assert server.steps == 0
 
 
 @pytest.mark.parametrize("failures, cold", [(1, False), (3, True)])
 def test_with_many_calls_a_lone_failed_connection_is_no_restart(failures, cold):
     """Servers whose connections fail now and then were taken for cold, and got next to nothing."""
-    paper = Paper(servers=1)
-    server = paper.server("s0")
-    paper.balancer.book.heard = 1e6
+    harness = BalancerHarness(servers=1)
+    server = harness.server("s0")
+    harness.balancer.state.recent_requests = 1e6
     for how in [304] * failures + [100]:
-        server.k, paper.balancer.book.live = 1, 1
-        paper.balancer.book.refresh(server)
-        paper.balancer.book.cut.clear()  # else its zone gets only trials
-        paper.balancer.book.tokens = 0.0  # no further attempt
-        paper.answer(paper.accept(cls=1), 0, how=how, lag=20 * MS)
-    assert (server.started == paper.now) is cold
+        server.steps, harness.balancer.state.live_count = 1, 1
+        harness.balancer.state.update_available(server)
+        harness.balancer.state.zone_failures.clear()  # else its zone gets only trials
+        harness.balancer.state.retry_tokens = 0.0  # no further attempt
+        harness.answer(harness.accept(cls=1), 0, status=how, latency=20 * MS)
+    assert (server.started == harness.now) is cold
 
 
 @pytest.mark.parametrize("lost, taught", [(1, False), (3, True)])
 def test_with_many_calls_a_lone_time_out_tells_of_no_queue(lost, taught):
-    paper = Paper(servers=1)
-    paper.balancer.book.heard = 1e6
+    harness = BalancerHarness(servers=1)
+    harness.balancer.state.recent_requests = 1e6
     for _ in range(lost):
-        tid = paper.accept(cls=1)
-        if paper.history[tid]:
-            paper.answer(tid, 0, how=303, lag=300 * MS)
-    assert (paper.server("s0").wait > 0) is taught
+        tid = harness.accept(cls=1)
+        if harness.history[tid]:
+            harness.answer(tid, 0, status=303, latency=300 * MS)
+    assert (harness.server("s0").wait > 0) is taught
 
 
 def test_with_many_calls_a_server_expected_in_time_goes_before_a_less_loaded_one_that_is_not():
-    paper = Paper(servers=2)
-    slow, quick = paper.server("s1"), paper.server("s0")
+    harness = BalancerHarness(servers=2)
+    slow, quick = harness.server("s1"), harness.server("s0")
     for many in (False, True):
-        paper.balancer.book.many = many
-        assert preferred(paper.balancer.book, quick, 20.0 * MS, slow, 400.0 * MS, 300 * MS)
+        harness.balancer.state.high_traffic = many
+        assert is_better(harness.balancer.state, quick, 20.0 * MS, slow, 400.0 * MS, 300 * MS)
         quick.inflight = 2
-        assert preferred(paper.balancer.book, quick, 20.0 * MS, slow, 400.0 * MS, 300 * MS) is many
+        assert is_better(harness.balancer.state, quick, 20.0 * MS, slow, 400.0 * MS, 300 * MS) is many
         quick.inflight = 0
 
 
 def test_with_few_calls_the_first_failure_is_a_verdict():
-    paper = Paper(servers=1)
-    paper.answer(paper.accept(cls=1), 0, how=305)
-    assert paper.server("s0").k == 0
+    harness = BalancerHarness(servers=1)
+    harness.answer(harness.accept(cls=1), 0, status=305)
+    assert harness.server("s0").k == 0
 
 
 def test_failures_that_all_servers_show_do_not_shrink_budgets():
-    paper = Paper(servers=3)
-    paper.balancer.book.heard = 1e6
-    for server in paper.balancer.book.servers.values():
-        server.k = 6
+    harness = BalancerHarness(servers=3)
+    harness.balancer.state.recent_requests = 1e6
+    for server in harness.balancer.state.servers.values():
+        server.steps = 6
     for turn in range(400):
-        tid = paper.accept(cls=1)
-        paper.answer(tid, 0, how=305 if turn % 9 in (3, 5) else 100, lag=20 * MS)
-    assert min(s.k for s in paper.balancer.book.servers.values()) >= 3
+        tid = harness.accept(cls=1)
+        harness.answer(tid, 0, status=305 if turn % 9 in (3, 5) else 100, latency=20 * MS)
+    assert min(s.steps for s in harness.balancer.state.servers.values()) >= 3
 
 
 def test_the_first_budget_is_a_sidecar_s_part_of_what_a_server_can_do():
     for replicas, budget in ((1, 4), (2, 2), (100, 1)):
-        server = Paper(settings(replicasOfMe=replicas), servers=1).server("s0")
+        server = BalancerHarness(settings(replicasOfMe=replicas), servers=1).server("s0")
         assert server.budget == budget
 
 
@@ -261,7 +261,7 @@
         async with place(turn_away, turn_away) as here:
             assert await here.status(request(cls="look")) == 502
             assert sum(len(s.got) for s in here.servers.values()) == 1
-            assert all(s.k == 1 and not s.inflight for s in here.balancer.book.servers.values())
+            assert all(s.steps == 1 and not s.inflight for s in here.balancer.state.servers.values())
 
     asyncio.run(main())
 
@@ -279,7 +279,7 @@
             writer.write(request("one"))
             await until(lambda: any(s.got for s in here.servers.values()))
             assert await here.status(request("two")) == 503
-            assert all(s.k == 1 for s in here.balancer.book.servers.values())
+            assert all(s.steps == 1 for s in here.balancer.state.servers.values())
             release.set()
             assert (await read_message(reader)).endswith(b"for one")
 
@@ -316,12 +316,12 @@
     ],
 )
 def test_an_absurd_report_stays_in_no_mean(load):
-    paper = Paper(servers=2)
-    paper.answer(paper.accept(), 0, lag=20_000_000, **load)
+    harness = BalancerHarness(servers=2)
+    harness.answer(harness.accept(), 0, latency=20_000_000, **load)
     for _ in range(5):
-        paper.answer(paper.accept(), 0, lag=20_000_000)
-    assert max(paper.balancer.book.waits) < 1e9
-    assert all(s.wait < 1e9 for s in paper.balancer.book.servers.values())
+        harness.answer(harness.accept(), 0, latency=20_000_000)
+    assert max(harness.balancer.state.mean_waits) < 1e9
+    assert all(s.wait < 1e9 for s in harness.balancer.state.servers.values())
 
 
 def test_servers_that_are_gone_leave_nothing_behind():
@@ -332,24 +332,24 @@
             for turn in range(30):
                 here.tell({f"n{turn}": server})  # a new id at the address of one that has gone
                 assert await here.status(request(new())) == 200
-            assert set(here.balancer.book.servers) == {"n29"}
+            assert set(here.balancer.state.servers) == {"n29"}
             assert set(here.upstream._servers) == {"n29"}
             assert here.upstream._open == 1
-            assert not here.balancer.book.attempts
-            assert not here.balancer.book.calls
+            assert not here.balancer.state.attempts
+            assert not here.balancer.state.calls
             assert not here.sidecar._calls
 
     asyncio.run(main())
 
 
 def test_a_server_that_is_gone_is_kept_until_its_last_outcome():
-    paper = Paper(servers=2)
-    tid = paper.accept()
-    name = paper.sends(tid)[0]
-    paper.feed(Directory("INCREMENTAL", (Entry(name, lifecycle="removed"),)))
-    assert name in paper.balancer.book.servers
-    paper.feed(Response(tid, How.CANCELLED, 1, name, 0, True, {}))
-    assert name not in paper.balancer.book.servers
+    harness = BalancerHarness(servers=2)
+    tid = harness.accept()
+    name = harness.sends(tid)[0]
+    harness.feed(ServerListUpdate("INCREMENTAL", (ServerEntry(name, lifecycle="removed"),)))
+    assert name in harness.balancer.state.servers
+    harness.feed(AttemptEnded(tid, AttemptStatus.CANCELLED, 1, name, 0, True, {}))
+    assert name not in harness.balancer.state.servers
 
 
 def test_a_connection_that_lacks_the_end_of_a_request_carries_no_other(monkeypatch):
@@ -395,13 +395,13 @@
     async def main():
         new = traces()
         async with place(fine, fine, fine, fine, limits={"maxAttempts": 4, "retryAfter": True}) as here:
-            book = here.balancer.book
+            state = here.balancer.state
             dead, well = (here.servers["s0"], here.servers["s1"]), (here.servers["s2"], here.servers["s3"])
             for server in dead:
                 server.stop()
-            while book.live > 2:
+            while state.live_count > 2:
                 assert await here.status(request(new())) == 200
-            assert {s.name for s in book.up if not s.k} == {"s0", "s1"}, "a failure is a verdict on these"
+            assert {s.name for s in state.up if not s.steps} == {"s0", "s1"}, "a failure is a verdict on these"
             for server in well:
                 server.stop()
                 here.upstream._close_idle(here.upstream._servers["s2" if server is well[0] else "s3"])
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -6,135 +6,135 @@
 
 import pytest
 
-from covetally.interface import Allotted, Directory, Entry, Refuse, Warned
-from tests.support import MS, START, Paper, settings
+from covetally.interface import QuotaUpdate, ServerListUpdate, ServerEntry, Refuse, TierWarning
+from tests.support import MS, START, BalancerHarness, settings
 
 SECOND = 1_000 * MS
 TENANTS = [{"name": "x", "share": 0.5}, {"name": "y", "share": 0.5}]
 
 
-def served(paper: Paper, count: int, cls: int = 0) -> list[str]:
+def served(harness: BalancerHarness, count: int, cls: int = 0) -> list[str]:
     """Calls one after the other, each served; where they went."""
     where = []
     for _ in range(count):
-        tid = paper.accept(cls)
-        where += paper.sends(tid)
-        paper.now += 5 * MS
-        if (tid, 0) in paper.out:
-            paper.answer(tid, 0)
+        tid = harness.accept(cls)
+        where += harness.sends(tid)
+        harness.now += 5 * MS
+        if (tid, 0) in harness.outstanding:
+            harness.answer(tid, 0)
     return where
 
 
 def test_an_avoided_server_gets_nothing_until_the_word_ends():
-    paper = Paper(servers=4)
-    paper.feed(Warned(START + SECOND, servers=(("s1", -1),)))
-    assert "s1" not in served(paper, 100)
-    paper.now = START + 2 * SECOND
-    assert "s1" in served(paper, 100)
+    harness = BalancerHarness(servers=4)
+    harness.feed(TierWarning(START + SECOND, servers=(("s1", -1),)))
+    assert "s1" not in served(harness, 100)
+    harness.now = START + 2 * SECOND
+    assert "s1" in served(harness, 100)
 
 
 def test_a_word_in_place_of_another_ends_it():
-    paper = Paper(servers=4)
-    paper.feed(Warned(START + 9 * SECOND, servers=(("s1", -1), ("s2", -1))))
-    paper.feed(Warned(START + 9 * SECOND, servers=(("s2", -1),)))
-    where = served(paper, 100)
+    harness = BalancerHarness(servers=4)
+    harness.feed(TierWarning(START + 9 * SECOND, servers=(("s1", -1), ("s2", -1))))
+    harness.feed(TierWarning(START + 9 * SECOND, servers=(("s2", -1),)))
+    where = served(harness, 100)
     assert "s1" in where and "s2" not in where
 
 
 def test_a_server_avoided_for_one_class_serves_the_others():
-    paper = Paper(servers=4)
-    paper.feed(Warned(START + 9 * SECOND, servers=(("s1", 1),)))
-    assert "s1" not in served(paper, 60, cls=1)
-    assert "s1" in served(paper, 60, cls=0)
+    harness = BalancerHarness(servers=4)
+    harness.feed(TierWarning(START + 9 * SECOND, servers=(("s1", 1),)))
+    assert "s1" not in served(harness, 60, cls=1)
+    assert "s1" in served(harness, 60, cls=0)
 
 
 def test_whose_turn_it_is_tries_once():
-    paper = Paper(servers=4)
-    paper.feed(Warned(START + 9 * SECOND, servers=(("s1", -1),), turns=("s1",)))
-    assert served(paper, 100).count("s1") == 1
+    harness = BalancerHarness(servers=4)
+    harness.feed(TierWarning(START + 9 * SECOND, servers=(("s1", -1),), probes=("s1",)))
+    assert served(harness, 100).count("s1") == 1
 
 
 def test_where_there_is_nowhere_else_to_go_an_avoided_server_is_called():
-    paper = Paper(servers=2)
-    paper.feed(Warned(START + 9 * SECOND, servers=(("s0", -1), ("s1", -1))))
-    assert len(served(paper, 20)) == 20
+    harness = BalancerHarness(servers=2)
+    harness.feed(TierWarning(START + 9 * SECOND, servers=(("s0", -1), ("s1", -1))))
+    assert len(served(harness, 20)) == 20
 
 
 def test_an_avoided_zone_gets_trials_at_most():
-    paper = Paper(servers=6)
-    paper.feed(Warned(START + 9 * SECOND, zones=(1,)))
-    where = served(paper, 200)
+    harness = BalancerHarness(servers=6)
+    harness.feed(TierWarning(START + 9 * SECOND, zones=(1,)))
+    where = served(harness, 200)
     assert sum(int(name[1:]) % 2 for name in where) <= 0.15 * len(where)
 
 
 def test_a_server_that_is_back_is_cold():
-    paper = Paper(servers=4)
-    before = served(paper, 200).count("s1")
-    paper.feed(Warned(paper.now + SECOND, back=(("s1", paper.now),)))
-    assert served(paper, 200).count("s1") < before / 2
+    harness = BalancerHarness(servers=4)
+    before = served(harness, 200).count("s1")
+    harness.feed(TierWarning(harness.now + SECOND, restarted=(("s1", harness.now),)))
+    assert served(harness, 200).count("s1") < before / 2
 
 
 # --- limits --------------------------------------------------------------------------------------
 
 
-def limited(**more) -> Paper:
-    return Paper(settings(projects=TENANTS, **more), servers=6)
+def limited(**more) -> BalancerHarness:
+    return BalancerHarness(settings(projects=TENANTS, **more), servers=6)
 
 
-def admitted(paper: Paper, seconds: float, per_s: float, tenant: int = 0) -> int:
+def admitted(harness: BalancerHarness, seconds: float, per_s: float, tenant: int = 0) -> int:
     """Calls at a steady rate, each served at once; how many were let in."""
     count, let_in = int(seconds * per_s), 0
     for _ in range(count):
-        tid = paper.accept(tenant=tenant)
-        if sends := len(paper.sends(tid)):
+        tid = harness.accept(tenant=tenant)
+        if sends := len(harness.sends(tid)):
             let_in += sends
-            paper.answer(tid, 0)
-        paper.now += int(SECOND / per_s)
+            harness.answer(tid, 0)
+        harness.now += int(SECOND / per_s)
     return let_in
 
 
 def test_a_rate_lets_in_what_it_says_and_refuses_the_rest_with_a_time():
-    paper = limited()
-    paper.feed(Allotted(0, False, 10.0, paper.now + 60 * SECOND, 10.0))
-    assert 95 <= admitted(paper, 10, 50) <= 100
-    refusals = [a for _ in range(3) for a in paper.feed_accept() if isinstance(a, Refuse)]  # of tenant 0
+    harness = limited()
+    harness.feed(QuotaUpdate(0, False, 10.0, harness.now + 60 * SECOND, 10.0))
+    assert 95 <= admitted(harness, 10, 50) <= 100
+    refusals = [a for _ in range(3) for a in harness.feed_accept() if isinstance(a, Refuse)]  # of tenant 0
     assert len(refusals) >= 2 and all(0 < a.hold_off_ns <= 1_000 * MS for a in refusals)
-    assert admitted(paper, 2, 50, tenant=1) == 100
+    assert admitted(harness, 2, 50, tenant=1) == 100
 
 
 def test_a_part_that_was_lent_lapses_by_the_modules_own_clock():
-    paper = limited()
-    paper.feed(Allotted(0, False, 40.0, paper.now + SECOND, 5.0))
-    assert 30 <= admitted(paper, 1, 100) <= 40
-    paper.now += 3 * SECOND  # it was stopped, or nothing more was heard
-    assert admitted(paper, 4, 100) <= 5 * 7 + 5
+    harness = limited()
+    harness.feed(QuotaUpdate(0, False, 40.0, harness.now + SECOND, 5.0))
+    assert 30 <= admitted(harness, 1, 100) <= 40
+    harness.now += 3 * SECOND  # it was stopped, or nothing more was heard
+    assert admitted(harness, 4, 100) <= 5 * 7 + 5
 
 
 def test_what_was_saved_up_of_a_larger_part_is_not_kept():
-    paper = limited()
-    paper.feed(Allotted(0, False, 100.0, paper.now + 60 * SECOND, 100.0))
-    paper.now += 5 * SECOND
-    paper.feed(Allotted(0, False, 2.0, paper.now + 60 * SECOND, 2.0))
-    assert admitted(paper, 1, 50) <= 4
+    harness = limited()
+    harness.feed(QuotaUpdate(0, False, 100.0, harness.now + 60 * SECOND, 100.0))
+    harness.now += 5 * SECOND
+    harness.feed(QuotaUpdate(0, False, 2.0, harness.now + 60 * SECOND, 2.0))
+    assert admitted(harness, 1, 50) <= 4
 
 
 def test_calls_in_flight_are_bounded_and_room_comes_back():
-    paper = limited()
-    paper.feed(Allotted(0, True, 2.7, paper.now + 60 * SECOND, 1.0))
-    tids = [paper.accept(tenant=0) for _ in range(4)]
-    assert [len(paper.sends(t)) for t in tids] == [1, 1, 0, 0]
-    paper.answer(tids[0], 0)
-    assert paper.sends(paper.accept(tenant=0))
-    assert paper.balancer.demand() == {(0, True): 3}
-    paper.feed(Allotted(0, True, None))
-    assert paper.sends(paper.accept(tenant=0)) and paper.balancer.demand() == {}
+    harness = limited()
+    harness.feed(QuotaUpdate(0, True, 2.7, harness.now + 60 * SECOND, 1.0))
+    tids = [harness.accept(tenant=0) for _ in range(4)]
+    assert [len(harness.sends(t)) for t in tids] == [1, 1, 0, 0]
+    harness.answer(tids[0], 0)
+    assert harness.sends(harness.accept(tenant=0))
+    assert harness.balancer.demand() == {(0, True): 3}
+    harness.feed(QuotaUpdate(0, True, None))
+    assert harness.sends(harness.accept(tenant=0)) and harness.balancer.demand() == {}
 
 
 def test_a_limit_of_nothing_lets_nothing_in():
-    paper = limited()
-    paper.feed(Allotted(0, False, 0.0, paper.now + 60 * SECOND, 0.0))
-    assert admitted(paper, 3, 20) == 0
-    assert paper.balancer.demand() == {(0, False): 60}
+    harness = limited()
+    harness.feed(QuotaUpdate(0, False, 0.0, harness.now + 60 * SECOND, 0.0))
+    assert admitted(harness, 3, 20) == 0
+    assert harness.balancer.demand() == {(0, False): 60}
 
 
 # --- rule two at its edges -----------------------------------------------------------------------
@@ -149,38 +149,42 @@
     """Aims are longer than the window here, so that nothing else ends the call."""
     wide = settings()
     classes = tuple(replace(c, aim_ns=900 * MS) for c in wide.classes)
-    paper = Paper(replace(wide, classes=classes), servers=16)
-    tid = paper.accept(cls, ttl=950 * MS)
-    first = paper.sends(tid)[0]
-    paper.now += after
-    paper.answer(tid, 0, how=305)
-    sends = paper.sends(tid)
+    harness = BalancerHarness(replace(wide, classes=classes), servers=16)
+    tid = harness.accept(cls, ttl=950 * MS)
+    first = harness.sends(tid)[0]
+    harness.now += after
+    harness.answer(tid, 0, status=305)
+    sends = harness.sends(tid)
     assert (len(sends) == 2) is again
     if again:
-        entry, other = paper.entries[first], paper.entries[sends[1]]
+        entry, other = harness.entries[first], harness.entries[sends[1]]
         if cls == ZONED:
             assert other.zone == entry.zone
         if cls == CELLED:
             assert other.cell == entry.cell
     else:  # it may have run, so only a group of all may be told to come back
-        assert paper.finals[tid] == ("refused" if cls == BOOK else "failed")
+        assert harness.final_answers[tid] == ("refused" if cls == BOOK else "failed")
 
 
 def test_a_keyed_call_whose_group_has_no_other_server_is_not_sent_elsewhere():
-    paper = Paper(servers=0)
-    entries = (Entry("s0", zone=0, cell=0), Entry("s1", zone=1, cell=1), Entry("s2", zone=1, cell=2))
-    paper.feed(Directory("FULL", entries))
+    harness = BalancerHarness(servers=0)
+    entries = (
+        ServerEntry("s0", zone=0, cell=0),
+        ServerEntry("s1", zone=1, cell=1),
+        ServerEntry("s2", zone=1, cell=2),
+    )
+    harness.feed(ServerListUpdate("FULL", entries))
     for cls in (ZONED, CELLED):
         for _ in range(30):
-            tid = paper.accept(cls)
-            first = paper.sends(tid)[:1]
+            tid = harness.accept(cls)
+            first = harness.sends(tid)[:1]
             if not first:  # all are in backoff: it is held, and ends in time
-                paper.advance(5_000 * MS)
-                assert tid in paper.finals
+                harness.advance(5_000 * MS)
+                assert tid in harness.final_answers
                 continue
-            paper.answer(tid, 0, how=305)
+            harness.answer(tid, 0, status=305)
             if first == ["s0"]:
-                assert paper.sends(tid)[1:] in ([], ["s0"])
-            if (tid, 1) in paper.out:
-                paper.answer(tid, 1)
-            paper.now += 600 * MS
+                assert harness.sends(tid)[1:] in ([], ["s0"])
+            if (tid, 1) in harness.outstanding:
+                harness.answer(tid, 1)
+            harness.now += 600 * MS
--- a/tests/tier/test_verdicts.py
+++ b/tests/tier/test_verdicts.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from covetally.interface import How
+from covetally.interface import AttemptStatus
 from covetally.lab.verdicts import Calls
 from covetally.rig.schedule import Link, Step
 from covetally.tier import facts as facts_module
@@ -72,8 +72,8 @@
 
 def test_one_bad_zone_link_convicts_a_well_node_for_that_zone_alone():
     calls = settled(size=15)
-    bad = How.CONNECT_FAILED
-    calls.fate = lambda member, node, cls: bad if node == "n4" and member % 3 == 2 else How.OK
+    bad = AttemptStatus.CONNECT_FAILED
+    calls.fate = lambda member, node, cls: bad if node == "n4" and member % 3 == 2 else AttemptStatus.OK
     calls.run(6)
     assert all(any(a.server == "n4" for a in calls.advice(n).avoid) for n in members(calls, 2))
     assert not any(calls.advice(n).avoid for n in (*members(calls, 0), *members(calls, 1)))
@@ -81,7 +81,9 @@
 
 def test_a_zone_that_is_silent_for_another_is_avoided_there_and_by_nobody_else():
     calls = settled(size=15)
-    cut = lambda member, node, cls: How.TIMEOUT if member % 3 == 0 and int(node[1:]) % 3 == 1 else How.OK  # noqa: E731
+    cut = (  # noqa: E731
+        lambda n, node, cls: AttemptStatus.TIMEOUT if n % 3 == 0 and int(node[1:]) % 3 == 1 else AttemptStatus.OK
+    )
     calls.fate = cut
     calls.run(4)
     assert all(calls.advice(n).zones == (1,) for n in members(calls, 0))
@@ -90,7 +92,7 @@
 
 def test_one_sidecars_bad_link_to_all_nodes_takes_nobody_out():
     calls = settled()
-    calls.fate = lambda member, node, cls: How.TIMEOUT if member == 0 else How.OK
+    calls.fate = lambda member, node, cls: AttemptStatus.TIMEOUT if member == 0 else AttemptStatus.OK
     for _ in range(20):
         calls.run(0.5)
         assert not any(calls.advice(n).avoid for n in calls.tier.nodes)
@@ -98,7 +100,7 @@
 
 def test_a_node_that_fails_one_class_is_avoided_for_that_class():
     calls = settled(classes=3)
-    calls.fate = lambda member, node, cls: How.ERROR if node == "n4" and cls == 2 else How.OK
+    calls.fate = lambda member, node, cls: AttemptStatus.ERROR if node == "n4" and cls == 2 else AttemptStatus.OK
     assert calls.run(10, lambda: calls.avoiding("n4", 2) >= 0.9) < 10
     assert calls.avoiding("n4") == 0.0
     assert calls.avoiding("n4", 1) == 0.0
@@ -132,11 +134,13 @@
     calls = settled()
     half, other = tuple(range(6)), tuple(range(6, 12))
     calls.play((Step(0, "link", half, other, CUT), Step(0, "link", other, half, CUT)), 0.5)
-    calls.fate = lambda member, node, cls: How.CONNECT_FAILED if node == "n4" and member < 6 else How.OK
+    calls.fate = lambda member, node, cls: (
+        AttemptStatus.CONNECT_FAILED if node == "n4" and member < 6 else AttemptStatus.OK
+    )
     calls.run(5)
     assert {any(calls.advice(n).avoid for n in half)} == {True}
     assert not any(calls.advice(n).avoid for n in other)
-    calls.fate = lambda member, node, cls: How.OK
+    calls.fate = lambda member, node, cls: AttemptStatus.OK
     calls.play((Step(0, "heal"),), 20)
     assert calls.avoiding("n4") == 0.0
 
--- a/tests/websocket/test_sockets.py
+++ b/tests/websocket/test_sockets.py
@@ -78,7 +78,7 @@
 @asynccontextmanager
 async def sockets(*scripts, **changes):
     async with place(*scripts, clients=64, sockets=64) as here:
-        config: Settings = here.balancer.book.settings
+        config: Settings = here.balancer.state.settings
         bounds = {"sockets": 40, "per_tenant": 40, "drain_s": 0.5, "back_s": 2.0}
         patience = {"ping_s": 30.0, "pong_s": 10.0, "slow_s": 10.0, "idle_s": 0.0}
         for known in (bounds, patience):
@@ -109,7 +109,7 @@
     async def main():
         async with sockets(echo) as here:
             reader, writer = await opened(here)
-            assert here.balancer.book.servers["s0"].held == 1
+            assert here.balancer.state.servers["s0"].upgraded == 1
             rng = random.Random(1)
             for size in (0, 5, 125, 126, 20_000, 70_000):
                 body = rng.randbytes(size)
@@ -122,7 +122,7 @@
             assert await reader.read() == b""
             await until(lambda: not here.hub.count)
             assert here.hub.ended == {"closed by the client": 1}
-            assert here.balancer.book.servers["s0"].held == 0
+            assert here.balancer.state.servers["s0"].upgraded == 0
             assert here.upstream.connections == 0
             writer.close()
 
@@ -181,7 +181,7 @@
     async def main():
         async with sockets(full, echo) as here:
             streams = [await opened(here) for _ in range(6)]
-            assert here.balancer.book.servers["s1"].held == 6
+            assert here.balancer.state.servers["s1"].upgraded == 6
             for _, writer in streams:
                 writer.close()
 
@@ -212,7 +212,7 @@
     async def main():
         async with sockets(echo, echo) as here:
             streams = [await opened(here) for _ in range(12)]
-            before = here.balancer.book.servers["s0"].held
+            before = here.balancer.state.servers["s0"].upgraded
             assert 0 < before < 12, "the two hold about the same"
             here.tell({"s0": here.servers["s0"]}, "INCREMENTAL", "leaving")
             here.hub.told({"s0": "leaving"}, False)
@@ -231,7 +231,7 @@
             assert closed == before
             await until(lambda: here.hub.count == 12 - before)
             assert here.hub.ended == {"drain": before}
-            assert (await opened(here)) and here.balancer.book.servers["s0"].held == 0
+            assert (await opened(here)) and here.balancer.state.servers["s0"].upgraded == 0
             for _, writer in streams:
                 writer.close()
 
--- a/tests/workers/test_merge.py
+++ b/tests/workers/test_merge.py
@@ -11,7 +11,7 @@
 
 from covetally.workers import merge
 from covetally.workers.claims import SharedIds
-from tests.support import MS, Paper, settings
+from tests.support import MS, BalancerHarness, settings
 
 
 def beat(served: int, shed: int, lag: float = 0.0) -> dict:
@@ -63,25 +63,27 @@
 @pytest.mark.parametrize("count", [2, 3, 4, 8])
 def test_workers_together_have_the_budget_of_one_sidecar_but_one_call_each_at_the_least(count):
     config = settings(replicasOfMe=1)
-    whole = Paper(config, servers=1).server("s0")
-    parts = [Paper(replace(config, part=1.0 / count), servers=1).server("s0") for _ in range(count)]
+    whole = BalancerHarness(config, servers=1).server("s0")
+    parts = [
+        BalancerHarness(replace(config, budget_share=1.0 / count), servers=1).server("s0") for _ in range(count)
+    ]
     for k in range(1, 20):
         for server in (whole, *parts):
-            server.k = min(k, Paper(config).balancer.book.steps)
+            server.steps = min(k, BalancerHarness(config).balancer.state.max_steps)
         assert sum(p.budget for p in parts) <= max(whole.budget, count)
 
 
 def test_a_worker_takes_another_part_under_way_and_keeps_what_it_learned():
     config = settings(replicasOfMe=1)
-    paper = Paper(replace(config, part=0.5), servers=2)
-    server = paper.server("s0")
-    server.figure *= 0.7  # it was full once
-    paper.balancer.retune(replace(config, part=0.25))
-    assert (server.ceiling, server.figure, server.budget) == (1.0, pytest.approx(0.7), 1)
-    paper.balancer.retune(config)
-    assert (server.ceiling, server.budget) == (4.0, 2)
+    harness = BalancerHarness(replace(config, budget_share=0.5), servers=2)
+    server = harness.server("s0")
+    server.step_size *= 0.7  # it was full once
+    harness.balancer.reconfigure(replace(config, budget_share=0.25))
+    assert (server.max_step_size, server.step_size, server.budget) == (1.0, pytest.approx(0.7), 1)
+    harness.balancer.reconfigure(config)
+    assert (server.max_step_size, server.budget) == (4.0, 2)
     for _ in range(3):
-        paper.answer(paper.accept(), 0, lag=20 * MS)
+        harness.answer(harness.accept(), 0, latency=20 * MS)
 
 
 def test_a_claim_is_one_process_s_and_ends_with_it():
