--- a/covetally/interface/__init__.py
+++ b/covetally/interface/__init__.py
@@ -1,7 +1,7 @@
-"""The balancer's settings, events and actions. All times are whole nanoseconds on one clock.
+"""Settings, events and actions of the balancer. All times are whole nanoseconds on one clock.
 
-`Settings.parse` reads the settings object as handed over at start; every absent optional key has a
-default here, so the decisions in `covetally/policy` never meet a missing one.
+`Settings.parse` reads the settings object that an instance receives at its start. Every optional key that is
+absent gets its default here, so the code in `covetally/policy` never meets a missing key.
 """
 
 from __future__ import annotations
@@ -15,23 +15,21 @@
 
 
 class AttemptStatus(enum.IntEnum):
-    """Outcome of an attempt."""
+    """How an attempt ended."""
 
     OK = 100
     ERROR = 301
-    FULL = 302
+    FULL = 302  # the server had no capacity and rejected the request without running it
     TIMEOUT = 303
     CONNECT_FAILED = 304
     RESET = 305
     CANCELLED = 306
     NOT_SENT = 307
-    UNUSABLE_RESPONSE = (
-        308  # the real sidecar's only: an answer came that cannot be used, so the attempt may have run
-    )
+    UNUSABLE_RESPONSE = 308  # only from real sockets: the response cannot be used, so the attempt may have run
 
 
 NOT_EXECUTED = frozenset({AttemptStatus.FULL, AttemptStatus.CONNECT_FAILED, AttemptStatus.NOT_SENT})
-"""Outcomes that prove the attempt had no effect."""
+"""Statuses that prove that the attempt had no effect."""
 
 
 class SettingsError(ValueError):
@@ -40,7 +38,12 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """One class of request: what an answer is worth, by when, and how it may be repeated."""
+    """A class of requests: what an answer is worth, when it is on time, and how it may be retried.
+
+    `repeat` is `free` (may run any number of times), `guarded` (the servers of a `group`, which is `all`, `zone`
+    or `cell`, recognise a repeat for `window_ns`) or `single_shot` (must not run twice). `aim_stretch` adds that
+    multiple of the request's expected service time to the aim.
+    """
 
     name: str
     aim_ns: int
@@ -56,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What the site permits."""
+    """What the site permits: attempts, hedging, peer messages, retry hints and connection limits."""
 
     max_attempts: int = 1
     hedging: bool = False
@@ -70,7 +73,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Invariants:
-    """Figures of the four rules."""
+    """Parameters of the four rules that a sidecar has to keep.
+
+    A server that has just started has the share `slow_start_floor` of its capacity, and all of it after
+    `slow_start_ns`; it fails when more than `overload_multiple` times its capacity arrives in
+    `overload_window_ns`.
+    """
 
     slow_start_floor: float = 0.1
     slow_start_ns: int = 30 * SECOND
@@ -92,7 +100,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """All that an instance is told at its start."""
+    """The settings of one instance."""
 
     classes: tuple[RequestClass, ...]
     zones: tuple[str, ...] = ()
@@ -109,14 +117,12 @@
     invariants: Invariants = field(default_factory=Invariants)
     prices: Mapping[str, float] = field(default_factory=dict)
     tenants: tuple[Tenant, ...] = ()
-    budget_share: float = 1.0  # of one sidecar's budgets, where several processes share them
-    max_upgraded_per_server: int = (
-        0  # connections of another protocol that a server may hold for us; 0: any number
-    )
+    budget_share: float = 1.0  # of one sidecar's budgets, where several worker processes share them
+    max_upgraded_per_server: int = 0  # upgraded connections from this sidecar to one server; 0: no limit
 
     @classmethod
     def parse(cls, raw: Any) -> Settings:
-        """Build settings from the decoded settings object; raise SettingsError on what is unusable."""
+        """Build settings from the decoded settings object; raise SettingsError if it cannot be used."""
         root = _Reader(raw, "settings")
         classes = tuple(_request_class(item) for item in root.items("classes"))
         if not classes:
@@ -144,18 +150,18 @@
 
 
 class _Reader:
-    """Typed access to one JSON object, with its path for messages."""
+    """Typed access to one JSON object; keeps the object's path for error messages."""
 
     def __init__(self, raw: Any, path: str) -> None:
         if not isinstance(raw, dict):
             raise SettingsError(f"{path} is not an object")
         self._raw, self._path = raw, path
 
-    def _get(self, key: str, kinds: tuple[type, ...], default: Any) -> Any:
+    def _get(self, key: str, types: tuple[type, ...], default: Any) -> Any:
         value = self._raw.get(key)
         if value is None:
             return default
-        if not isinstance(value, kinds) or (isinstance(value, bool) and bool not in kinds):
+        if not isinstance(value, types) or (isinstance(value, bool) and bool not in types):
             raise SettingsError(f"{self._path}.{key} has a value of the wrong type: {value!r}")
         return value
 
@@ -163,7 +169,7 @@
         return int(self.number(key, default))
 
     def number(self, key: str, default: float) -> float:
-        """A finite number of at least 0: no setting has a meaning below."""
+        """Return a finite number of at least 0: no setting has a meaning below 0."""
         value = self._get(key, (int, float), default)
         if not 0 <= value < float("inf"):
             raise SettingsError(f"{self._path}.{key} has to be a finite number of at least 0: {value!r}")
@@ -233,11 +239,11 @@
     )
 
 
-# --- Events: what the instance sees -------------------------------------------------------------
+# --- Events: inputs of the balancer -------------------------------------------------------------
 
 
 class ServerEntry(NamedTuple):
-    """One line of a server list."""
+    """One entry of a server list."""
 
     server: str
     zone: int = 0
@@ -249,16 +255,18 @@
 
 
 class ServerListUpdate(NamedTuple):
-    """An update of the list of servers. `scope` is INCREMENTAL, FULL, SAVED or FAILED."""
+    """An update of the server list. `scope` is INCREMENTAL, FULL, SAVED (a stored copy) or FAILED (no list)."""
 
     scope: str
     entries: tuple[ServerEntry, ...] = ()
 
 
 class RequestReceived(NamedTuple):
-    """A client's request; exactly one final answer is owed. Its last byte came to this machine `age_ns` ago:
-    so long it had to wait for this process. `ttl_ns` counts from now. `let_in` tells that the module was asked
-    about that wait already."""
+    """A client's request; exactly one final answer is owed.
+
+    Its last byte reached this machine `age_ns` ago and has waited for this process since. `ttl_ns` counts from
+    now. `admitted` says that `Balancer.overload_hold_off` has already admitted it despite that wait.
+    """
 
     tid: str
     cls: int
@@ -269,13 +277,17 @@
     retry: bool = False
     age_ns: int = 0
     admitted: bool = False
-    upgrade: bool = False  # its answer, if it is served, is a connection that stays: see `Held`
-    priority: float = 0.0  # in the fleet's one order of requests: see `Line`
+    upgrade: bool = False  # if served, its connection stays open for another protocol: see `UpgradedConnections`
+    priority: float = 0.0  # rank in the fleet's common order, larger is shed first: see `AdmissionThreshold`
 
 
 class AttemptEnded(NamedTuple):
-    """The one outcome of an attempt. `load` is the server's report, empty if none came. `lag_ns` is the
-    server's and the network's time, `own_ns` what passed in this process besides."""
+    """The one result of an attempt.
+
+    `load` is the server's load report, empty if none came. `latency_ns` is the time of the server and the
+    network, `local_ns` the time that passed in this process on top of it. `closed` says that the request has been
+    answered or its client has left.
+    """
 
     tid: str
     status: int
@@ -288,20 +300,22 @@
 
 
 class ResponseStarted(NamedTuple):
-    """A streamed answer has started: the attempt now belongs to the client."""
+    """A streamed response has started; the request cannot be retried any more."""
 
     tid: str
 
 
 class ClientDisconnected(NamedTuple):
-    """The client left; nothing more is owed."""
+    """The client left; no answer is owed any more."""
 
     tid: str
 
 
 class UpgradedConnections(NamedTuple):
-    """Connections of another protocol, each of them a call that was served, stand at a server: `change` more than
-    before, or fewer."""
+    """The number of open upgraded connections to a server changed by `change`.
+
+    Each of them comes from a request that was served and whose connection now carries another protocol.
+    """
 
     server: str
     change: int
@@ -314,21 +328,24 @@
 
 
 class TimerFired(NamedTuple):
-    """A timer asked for by `Defer` has come due."""
+    """A timer set with `SetTimer` is due."""
 
     tag: int
 
 
 class ServerUnresponsive(NamedTuple):
-    """A server is listed, and its process does not answer, as other evidence than outcomes tells."""
+    """A listed server does not respond, according to evidence other than attempts, such as health checks."""
 
     server: str
 
 
 class TierWarning(NamedTuple):
-    """What the sidecars of the tier together make of servers and zones, in force until `until_ns`, in place of
-    what was told before. `servers` have a class each, or -1 for all; `turns` are those whose one trial call is
-    this sidecar's; `back` have a new process since that time."""
+    """The tier's joint view of failing servers and zones. It holds until `until_ns` and replaces the last one.
+
+    `servers` lists the servers to avoid, each with a class, or -1 for all classes; `probes` names those whose
+    single probe is assigned to this sidecar; `restarted` lists the servers that have a new process, with the time
+    of it.
+    """
 
     until_ns: int
     servers: tuple[tuple[str, int], ...] = ()
@@ -338,8 +355,10 @@
 
 
 class QuotaUpdate(NamedTuple):
-    """This sidecar's part of a limit on a tenant's calls: so many a second, or in flight, until `until_ns`, then
-    `then`. With no `amount` the limit is no more."""
+    """This sidecar's quota of a limit on a tenant's requests, per second or in flight.
+
+    It is `amount` until `until_ns` and `fallback` afterwards. An `amount` of None removes the limit.
+    """
 
     tenant: int
     in_flight: bool
@@ -350,10 +369,13 @@
 
 
 class AdmissionThreshold(NamedTuple):
-    """Where the fleet's overload line stands, in force until `until_ns`: a request whose place is `at` or past
-    it is refused, to come back after a time drawn up to `hold_off_ns`. Of what all sidecars may spend together:
-    `retries` are earned by one request, `saved` at most of them kept; a trial of one server, and a new
-    connection to it, are `probe_interval_ns` and `connect_interval_ns` apart, or more (0: no such bound)."""
+    """The fleet's admission threshold, in force until `until_ns`.
+
+    A request whose priority is at or above `threshold` is refused, with a random hold-off of up to `hold_off_ns`.
+    The other fields bound what all sidecars spend together: a request earns `retries_per_request` retries, of
+    which `max_saved_retries` can be saved up; two probes of a server, and two new connections to it, are at least
+    `probe_interval_ns` and `connect_interval_ns` apart (0: no bound).
+    """
 
     until_ns: int = 0
     threshold: float = 0.0
@@ -365,8 +387,10 @@
 
 
 class Shutdown(NamedTuple):
-    """The process ends: every call that is open is answered by `end_ns`, whatever its deadline. Calls that come
-    later have that in their `ttl_ns`."""
+    """The process is shutting down: every open request is answered by `end_ns`, even if its deadline is later.
+
+    Requests that arrive afterwards already have this limit in their `ttl_ns`.
+    """
 
     end_ns: int
 
@@ -378,12 +402,15 @@
 )  # fmt: skip
 
 
-# --- Actions: what the instance wants done ------------------------------------------------------
+# --- Actions: outputs of the balancer -----------------------------------------------------------
 
 
 class Submit(NamedTuple):
-    """Start the next attempt for a request, given up at `abandon_ns` and not begun past `begin_by_ns`, where that
-    is not 0: a repeat is harmless until then only, however long its connection takes to come up."""
+    """Start the next attempt of a request and give it up at `abandon_ns`.
+
+    If `begin_by_ns` is not 0, the attempt must not be sent after it, however long its connection takes to come
+    up: a repeat is harmless only until then.
+    """
 
     tid: str
     server: str
@@ -392,14 +419,14 @@
 
 
 class Refuse(NamedTuple):
-    """Final answer: declined, and trying again is harmless."""
+    """Final answer: the request was refused, and retrying it is harmless."""
 
     tid: str
     hold_off_ns: int
 
 
 class Fail(NamedTuple):
-    """Final answer: failed, with no promise about effects."""
+    """Final answer: the request failed and may have had an effect."""
 
     tid: str
 
@@ -412,7 +439,7 @@
 
 
 class Subscribe(NamedTuple):
-    """Ask discovery for the list and its changes from now on."""
+    """Subscribe to the server list and its changes at discovery."""
 
 
 class SendToPeer(NamedTuple):
@@ -423,7 +450,7 @@
 
 
 class SetTimer(NamedTuple):
-    """Ask for an `Alarm` after `in_ns`."""
+    """Request a `TimerFired` event after `delay_ns`."""
 
     delay_ns: int
     tag: int
@@ -432,13 +459,16 @@
 Action = Submit | Refuse | Fail | CancelAttempt | Subscribe | SendToPeer | SetTimer
 
 
-# --- What operators may read --------------------------------------------------------------------
+# --- Status for operators -----------------------------------------------------------------------
 
 
 class ServerStatus(NamedTuple):
-    """What the module believes of one server. Times are ns; `age_ns` is -1 where no start was told, `retry_ns`
-    is how long until a trial is due, `bad` the share of late outcomes that failed, `why` empty where the server
-    gets its share."""
+    """The balancer's view of one server, for operators.
+
+    Times are in ns. `steps` times `step_size` is the budget of calls in flight. `age_ns` is -1 if no start time
+    is known, `next_probe_ns` the time until a probe is due, `failure_ratio` the moving average of failed
+    attempts. `reason` says why the server gets less than its share, and is empty if it does not.
+    """
 
     server: str
     up: bool
--- a/covetally/policy/__init__.py
+++ b/covetally/policy/__init__.py
@@ -1,4 +1,4 @@
-"""The decisions of one sidecar: which server, whether to try again, what to turn away. No I/O."""
+"""The decisions of one sidecar: which server gets a request, whether to retry it, what to refuse. No I/O."""
 
 from covetally.policy.balancer import Balancer
 
--- a/covetally/policy/load_shedding.py
+++ b/covetally/policy/load_shedding.py
@@ -1,29 +1,33 @@
-"""What is turned away: where this process is late, and where no answer could be in time."""
+"""Load shedding: refuses requests when this process is overloaded or no answer could be in time."""
 
 from __future__ import annotations
 
 from covetally.policy.state import BalancerState
-from covetally.policy.calls import Odds
-from covetally.policy.constants import SAFE
+from covetally.policy.calls import OnTimeStats
+from covetally.policy.constants import SAFE_TIME_RATIO
 
-DOUBT = 20.0  # late calls of a class of ratios that weigh as much as what is supposed without any
+PRIOR_WEIGHT = 20.0  # weight of the assumed on-time share, in recent calls of the same bucket
 
 
 def overload_hold_off(state: BalancerState, now: int, age: int, retry: bool) -> int:
-    """Whether a request that has waited here for `age` is let in: 0 if so, else after how many ns its client
-    may come back. It need not have been read: nothing else of it counts.
-
-    Exception "overload": more has come than this process can work through. Guards against a queue of
-    requests that wait to be read, where each is served too late, its client asks again, and all work is
-    wasted. A short burst is served whole. Once some have always waited for over a quarter of the shortest
-    aim, for an aim, those are refused at once, which costs a fraction of serving them, and so is whoever asks
-    again: the time told before was longer than the aim. The others are served; it ends when none waits so
-    long any more. It ought to catch whatever makes this process slower than what comes: a smaller share of a
-    core, dearer requests, crowds of connections. It could do harm where the ages are wrong.
+    """Return 0 if a request that has waited here for `age` is admitted, else its hold-off in ns.
+
+    The request need not have been read, since nothing else of it counts.
+
+    Exception "overload": more requests arrive than this process can handle. Guards against a queue of unread
+    requests in which each is served too late, its client retries, and all work is wasted. Shedding starts when,
+    for the duration of one aim, there are always requests that have waited for more than a quarter of the
+    shortest aim. A short burst is thus served completely. Requests that waited that long are then refused at
+    once, which costs a fraction of serving them, and so are retries, since the hold-off of their first refusal
+    was longer than the aim. All other requests are served. Shedding ends when no request has waited that long for
+    one aim.
+
+    This should cover all causes that make this process slower than its input: a smaller share of a core, more
+    expensive requests, many connections at once. Wrong ages would make it refuse requests needlessly.
     """
     late = age > state.queue_age_limit
     if late:
-        if now - state.last_late_at > state.wait_memory // 4:  # an aim without one: the queue had gone
+        if now - state.last_late_at > state.wait_memory // 4:  # one aim without a late request: a new run begins
             state.late_since = now
         state.last_late_at = now
     elif not state.shedding:
@@ -34,13 +38,13 @@
     return max(1, state.settings.limits.max_retry_after_ns)
 
 
-def hopeless(state: BalancerState, ratio: float, odds: Odds) -> bool:
-    """Exception "shedding": the best server found would answer about when the aim is over or later.
+def should_shed(state: BalancerState, ratio: float, stats: OnTimeStats) -> bool:
+    """Exception "shedding": the best server found would answer at about the end of the aim, or later.
 
-    What is supposed of such calls gives way to how they fared of late, where there were enough of them: a
-    sidecar with much traffic soon knows how far its own expectations can be trusted. Random, so that a
-    thousand sidecars with the same old news don't all stop and start together.
+    The assumed share of such calls that are on time gives way to the measured one as recent calls add up, so a
+    sidecar with much traffic soon learns how far to trust its estimates. The decision is random, so that a
+    thousand sidecars with the same outdated estimates do not stop and start together.
     """
-    supposed = 0.5 - min(0.95, (ratio - SAFE) * 2.0) / 2.0
-    hit = (odds.hits + DOUBT * supposed) / (odds.tries + DOUBT)
-    return state.random() < min(0.95, 1.0 - 2.0 * hit)
+    assumed = 0.5 - min(0.95, (ratio - SAFE_TIME_RATIO) * 2.0) / 2.0
+    on_time = (stats.on_time + PRIOR_WEIGHT * assumed) / (stats.total + PRIOR_WEIGHT)
+    return state.random() < min(0.95, 1.0 - 2.0 * on_time)
--- a/covetally/policy/outlier_detection.py
+++ b/covetally/policy/outlier_detection.py
@@ -1,4 +1,4 @@
-"""What failures cost a server, a zone or a class on a server, and what the tier says of them."""
+"""Outlier detection: what failures cost a server, a zone, or a class on a server, and the tier's warnings."""
 
 from __future__ import annotations
 
@@ -10,34 +10,34 @@
     ERROR,
     FULL,
     GAIN,
-    LONE,
-    MUTE,
+    ISOLATED_FAILURE_RATIO,
+    MAX_STEPS,
     RESET,
-    UNUSABLE_RESPONSE,
-    STEPS,
+    SILENT_ZONE_CALLS,
     TIMEOUT,
+    UNUSABLE_RESPONSE,
 )
 from covetally.policy.server import Server
 from covetally.policy.estimates import slow_start_share
 
-DEAD = 3  # failed connections in a row that show a dead process to a sidecar with many calls for each server
-STREAK = 0.6  # failure average past which spoilt answers convict: three in a row
-SHUN = 0.25  # failure average of a class on one server past which that server may be shunned for it
-TASTE = 1 / 32  # share of such calls that a shunned server gets all the same, to show that it is well again
-CUT = 0.6  # failure average past which a zone counts as cut off: three failed connections in a row
+DEAD_CONNECT_FAILURES = 3  # consecutive failed connections that show a dead process, with high traffic
+EJECT_FAILURE_RATIO = 0.6  # failure average above which unusable responses eject: three in a row
+AVOID_CLASS_RATIO = 0.25  # failure average of a class on one server above which the server may be avoided for it
+CLASS_PROBE_SHARE = 1 / 32  # share of such calls that an avoided server still gets, to show that it has recovered
+ZONE_CUT_RATIO = 0.6  # failure average above which a zone counts as cut off: three failed connections in a row
 
 
-def clear(state: BalancerState, now: int, attempt: Attempt) -> None:
-    """A served call speaks for its server."""
+def record_success(state: BalancerState, now: int, attempt: Attempt) -> None:
+    """Lower the failure averages after a served call; a successful probe adds a concurrency step."""
     server, number = attempt.server, attempt.cls
-    for fails, gain in ((server.class_failures, GAIN / 2), (state.class_failures, GAIN / 16)):
-        if share := fails.get(number, 0.0):
-            fails[number] = share - share * gain
+    for failures, gain in ((server.class_failures, GAIN / 2), (state.class_failures, GAIN / 16)):
+        if ratio := failures.get(number, 0.0):
+            failures[number] = ratio - ratio * gain
     server.failure_ratio *= 1.0 - GAIN
     if state.zone_failures.get(server.zone):
         set_zone_failures(state, server.zone, 0.0)
     state.failure_ratio -= state.failure_ratio * GAIN / 16
-    if attempt.trial:
+    if attempt.probe:
         if not server.steps:
             state.live_count += server.up
         server.steps = min(server.steps + 1, state.max_steps)
@@ -45,82 +45,99 @@
     if server.step_size < server.max_step_size:
         server.step_size = min(server.max_step_size, server.step_size + GAIN / 8)
     if server.connect_failures:
-        if server.connect_failures >= (DEAD if state.high_traffic else 1):
-            # Connections failed and now work: it restarted before the list says so; treat it as cold.
+        if server.connect_failures >= (DEAD_CONNECT_FAILURES if state.high_traffic else 1):
+            # Connections failed and work again: the process restarted before the list shows it, so it is cold.
             server.started = max(server.started, now)
         server.connect_failures = 0
 
 
-def blame(state: BalancerState, now: int, attempt: Attempt, how: int) -> None:
-    """A failure may cost its server steps, or all of them."""
+def record_failure(state: BalancerState, now: int, attempt: Attempt, status: int) -> None:
+    """Raise the failure averages; depending on the status, take steps from the server or eject it."""
     server, number = attempt.server, attempt.cls
-    if how not in NOT_EXECUTED and how != UNUSABLE_RESPONSE:  # which may come from any server: see "spoilt" below
-        for fails, gain in ((server.class_failures, GAIN / 2), (state.class_failures, GAIN / 16)):
-            share = fails.get(number, 0.0)
-            fails[number] = share + (1.0 - share) * gain
-    if how != TIMEOUT:
+    if status not in NOT_EXECUTED and status != UNUSABLE_RESPONSE:  # any server may send one; see below
+        for failures, gain in ((server.class_failures, GAIN / 2), (state.class_failures, GAIN / 16)):
+            ratio = failures.get(number, 0.0)
+            failures[number] = ratio + (1.0 - ratio) * gain
+    if status != TIMEOUT:
         server.failure_ratio += (1.0 - server.failure_ratio) * GAIN
         state.failure_ratio += (1.0 - state.failure_ratio) * GAIN / 16
-    before = server.steps
-    lone = how not in (TIMEOUT, FULL) and is_lone(state, server)
-    if attempt.trial and not (lone and before):
+    steps = server.steps
+    isolated = status not in (TIMEOUT, FULL) and is_isolated_failure(state, server)
+    if attempt.probe and not (isolated and steps):
         server.backoff = min(max(2 * server.backoff, state.horizon), 8 * state.horizon)
-        back_off(state, now, server)
-    elif how in (CONNECT_FAILED, RESET) and before:
-        if not lone or how == CONNECT_FAILED:  # which takes the last step only where few are out
-            server.steps = max(int(lone or not may_convict(state)), server.steps // 2)
+        start_backoff(state, now, server)
+    elif status in (CONNECT_FAILED, RESET) and steps:
+        if not isolated or status == CONNECT_FAILED:  # an isolated failure never takes the last step
+            server.steps = max(int(isolated or not may_eject(state)), server.steps // 2)
     elif (
-        how == UNUSABLE_RESPONSE and before and not lone and server.failure_ratio > STREAK and may_convict(state)
+        status == UNUSABLE_RESPONSE
+        and steps
+        and not isolated
+        and server.failure_ratio > EJECT_FAILURE_RATIO
+        and may_eject(state)
     ):
-        # Exception "spoilt": one bad answer may come from any server; a streak of them is this server's.
+        # Exception "unusable responses": any server may send one; a run of them is this server's fault.
         server.steps = 0
-    if how == FULL:
-        server.step_size = max(1.0 / STEPS, server.step_size * 0.7)
-    if how == ERROR and server.steps and not lone and may_convict(state):
-        # Exception "conviction": failing servers answer fast, look idle and would draw all traffic.
+    if status == FULL:
+        server.step_size = max(1.0 / MAX_STEPS, server.step_size * 0.7)
+    if status == ERROR and server.steps and not isolated and may_eject(state):
+        # Exception "ejection": failing servers answer fast, look idle and would attract all traffic.
         server.steps = 0
-    if how == CONNECT_FAILED or (how == TIMEOUT and only_silent(state, server.zone, attempt.sent)):
-        # Exception "cut zone": when a link is cut, learning it server by server costs a call for each.
+    if status == CONNECT_FAILED or (
+        status == TIMEOUT and is_only_silent_zone(state, server.zone, attempt.sent_at)
+    ):
+        # Exception "cut zone": to learn of a broken link server by server would cost a call for each.
         set_zone_failures(state, server.zone, state.zone_failures.get(server.zone, 0.0) * (1.0 - GAIN) + GAIN)
-    server.connect_failures += how == CONNECT_FAILED
-    if before and not server.steps:
+    server.connect_failures += status == CONNECT_FAILED
+    if steps and not server.steps:
         state.live_count -= server.up
-        if not attempt.trial:
+        if not attempt.probe:
             server.backoff = max(server.backoff, state.horizon)
-            back_off(state, now, server)
+            start_backoff(state, now, server)
+
 
+def is_only_silent_zone(state: BalancerState, zone: int, since: int) -> bool:
+    """Whether no call sent to a zone since then got a response, but one sent to another zone did.
 
-def only_silent(state: BalancerState, zone: int, since: int) -> bool:
-    """Whether nothing sent to a zone since then was answered, and something sent elsewhere was. On kept
-    connections a cut link shows as time-outs; where all zones are slow together it is none."""
+    On open connections a broken link shows as time-outs. If all zones time out together, the link is not the
+    cause.
+    """
     if state.high_traffic or state.zone_answered_at.get(zone, 0) > since:
         return False
     return any(at > since for other, at in state.zone_answered_at.items() if other != zone)
 
 
 def is_zone_cut(state: BalancerState, now: int, zone: int) -> bool:
-    """Whether a zone counts as cut off: calls to it failed, or the first of some calls there has waited for
-    half an aim and none was answered, while a call sent elsewhere since was."""
-    if state.zone_failures.get(zone, 0.0) > CUT or (zone in state.warned_zones and now < state.warnings_until):
+    """Whether a zone counts as cut off from this sidecar.
+
+    It does if most recent calls to it failed, if the tier warns of it, or if the oldest of several unanswered
+    calls there has waited for half an aim, while a call sent elsewhere since then got a response.
+    """
+    if state.zone_failures.get(zone, 0.0) > ZONE_CUT_RATIO or (
+        zone in state.warned_zones and now < state.warnings_until
+    ):
         return True
-    unheard = state.zone_unanswered.get(zone, ())
-    if len(unheard) < MUTE or now - unheard[0] < state.wait_memory // 8:
+    sent = state.unanswered.get(zone, ())
+    if len(sent) < SILENT_ZONE_CALLS or now - sent[0] < state.wait_memory // 8:
         return False
-    return only_silent(state, zone, unheard[0])
+    return is_only_silent_zone(state, zone, sent[0])
 
 
-def set_zone_failures(state: BalancerState, zone: int, share: float) -> None:
-    state.zone_failures[zone] = share
-    state.zone_alert = any(share > CUT for share in state.zone_failures.values()) or any(
-        len(sent) == MUTE for sent in state.zone_unanswered.values()
+def set_zone_failures(state: BalancerState, zone: int, ratio: float) -> None:
+    """Set a zone's failure average and update `zone_alert`, which lets the common path skip `is_zone_cut`."""
+    state.zone_failures[zone] = ratio
+    state.zone_alert = any(ratio > ZONE_CUT_RATIO for ratio in state.zone_failures.values()) or any(
+        len(sent) == SILENT_ZONE_CALLS for sent in state.unanswered.values()
     )
     state.zone_alert = state.zone_alert or bool(state.warned_servers or state.warned_zones)
 
 
-def warn(state: BalancerState, now: int, event: TierWarning) -> None:
-    """Exception "warned": what many sidecars found is a reason to try elsewhere first, and to leave the trial
-    to the one whose turn it is. It is no verdict: nothing learned here changes, it ends by itself, and where
-    there is nowhere else to go such a server is called as any other.
+def apply_warning(state: BalancerState, now: int, event: TierWarning) -> None:
+    """Exception "tier warning": avoid the servers and zones that the tier warns of.
+
+    What many sidecars observed is a reason to prefer other servers, and to leave the probe to the sidecar that it
+    is assigned to. It is not an ejection: nothing learned here changes, the warning expires, and if there is no
+    other server, such a server is called like any other.
     """
     for server in state.warned_servers:
         server.warned_classes, server.probe_turn = (), False
@@ -137,6 +154,7 @@
 
 
 def is_warned(state: BalancerState, now: int, server: Server, cls: int = -1) -> bool:
+    """Whether a tier warning is in force for the server, and for this class or all classes."""
     return (
         bool(server.warned_classes)
         and now < state.warnings_until
@@ -144,55 +162,64 @@
     )
 
 
-def back_off(state: BalancerState, now: int, server: Server) -> None:
-    server.probed_at = now  # its turns count from here
+def start_backoff(state: BalancerState, now: int, server: Server) -> None:
+    """Schedule the next probe of a server after its backoff, with jitter."""
+    server.probed_at = now  # its time slots count from here: see `has_turn`
     server.retry_at = now + int(server.backoff * (0.75 + 0.5 * state.random()))
 
 
-def suspect(state: BalancerState, now: int, event: ServerUnresponsive) -> None:
-    """Exception "suspect": no new work but trials, as after a conviction, for a server said to be hung."""
+def mark_unresponsive(state: BalancerState, now: int, event: ServerUnresponsive) -> None:
+    """Exception "unresponsive server": a server reported as hung gets probes only, like an ejected one."""
     server = state.servers.get(event.server)
-    if server is None or not server.up or not server.steps or not may_convict(state):
+    if server is None or not server.up or not server.steps or not may_eject(state):
         return
     server.steps = 0
     state.live_count -= 1
     server.backoff = max(server.backoff, state.horizon)
-    back_off(state, now, server)
+    start_backoff(state, now, server)
     state.update_available(server)
 
 
-def is_lone(state: BalancerState, server: Server) -> bool:
-    """Exception "lone failure": no verdict on a failure that may be chance, where more calls soon tell.
+def is_isolated_failure(state: BalancerState, server: Server) -> bool:
+    """Exception "isolated failure": ignore a failure that may be chance if more calls will soon tell.
 
-    Connections and answers may break under healthy servers all the time. Where each of those costs a
-    server its steps, k never grows back. So a sidecar with many calls for each server waits for failures
-    beyond what all servers show; one with few calls cannot, and takes the first failure for a verdict.
+    Connections and responses of healthy servers may break at any time. If each such failure took a server's
+    steps, they would never grow back. So a sidecar with high traffic waits for more failures than all servers
+    show; one with little traffic cannot, and acts on the first.
     """
-    return state.high_traffic and server.failure_ratio <= LONE + 2.0 * min(state.failure_ratio, 0.2)
+    return state.high_traffic and server.failure_ratio <= ISOLATED_FAILURE_RATIO + 2.0 * min(
+        state.failure_ratio, 0.2
+    )
 
 
-def may_convict(state: BalancerState) -> bool:
-    """When most servers look bad the cause is shared, and convicting more only costs capacity."""
+def may_eject(state: BalancerState) -> bool:
+    """Whether another server may be ejected.
+
+    If most servers look bad they share a cause, and ejecting more would only cost capacity.
+    """
     return 2 * state.live_count > len(state.up)
 
 
-def shuns(state: BalancerState, server: Server, call: Call) -> bool:
-    """Exception "shunned class": the server fails this call's class, and others serve it well.
+def avoids_class(state: BalancerState, server: Server, call: Call) -> bool:
+    """Exception "avoided class": the server fails calls of this class that others serve well.
 
-    Guards against servers that are well but for one kind of request, which the other kinds' answers hide
-    from every verdict on the server as a whole. It ought to catch whatever one class needs and one server
-    lacks, be it time-outs, errors or resets. Where all servers fail a class about alike, none is
-    shunned for it. It could do harm where a class is rare and its failures are chance: it then meets
-    fewer servers for a while.
+    Guards against servers that are healthy but for one kind of request. The successes of the other kinds hide
+    this from all detection that looks at the server as a whole. It should cover anything that a class needs and
+    one server lacks, whether that shows as time-outs, errors or resets. If all servers fail a class at similar
+    rates, none is avoided for it. A rare class whose failures are chance gets fewer servers for a while.
     """
-    fails = server.class_failures.get(call.number, 0.0)
-    if fails <= SHUN or fails <= 2.0 * state.class_failures[call.number] or not state.high_traffic:
+    failures = server.class_failures.get(call.number, 0.0)
+    if (
+        failures <= AVOID_CLASS_RATIO
+        or failures <= 2.0 * state.class_failures[call.number]
+        or not state.high_traffic
+    ):
         return False
-    return state.random() >= TASTE
+    return state.random() >= CLASS_PROBE_SHARE
 
 
-def why_less(state: BalancerState, server: Server, now: int) -> str:
-    """Why a server gets less than its share, empty if it does not."""
+def limiting_reason(state: BalancerState, server: Server, now: int) -> str:
+    """Return why a server gets less than its share, or an empty string if it does not."""
     if not server.up:
         return "leaving"
     if not server.steps:
--- a/covetally/policy/server.py
+++ b/covetally/policy/server.py
@@ -1,4 +1,4 @@
-"""What a sidecar knows of one server."""
+"""The state that a sidecar keeps for one server."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Server:
-    """What this sidecar knows of one server."""
+    """One server as this sidecar knows it: its list entry, its budget, and what attempts and reports showed."""
 
     __slots__ = (
         "name",
@@ -44,40 +44,37 @@
         "listed_start",
     )
 
-    def __init__(self, entry: ServerEntry, figure: float) -> None:
+    def __init__(self, entry: ServerEntry, step_size: float) -> None:
         self.name = entry.server
-        self.max_step_size = figure
-        self.warned_classes: tuple[
-            int, ...
-        ] = ()  # classes for which the tier tells to try elsewhere first; -1: all
-        self.phase = crc32(entry.server.encode())  # with this sidecar's number: its turns of the fleet's
-        self.probed_at = self.connected_at = 0  # when last tried, and when a connection was last opened
-        self.probe_turn = False  # the tier's one trial call there is this sidecar's
-        self.upgraded = 0  # connections of another protocol that stand there: see "upgrade"
+        self.max_step_size = step_size
+        self.warned_classes: tuple[int, ...] = ()  # classes for which the tier avoids the server; -1: all
+        self.phase = crc32(entry.server.encode())  # with the sidecar's index it sets the time slots of `has_turn`
+        self.probed_at = self.connected_at = 0  # when it was last probed, and when a connection was last opened
+        self.probe_turn = False  # the tier has assigned its single probe to this sidecar
+        self.upgraded = 0  # open upgraded connections
         self.inflight = 0
-        self.connections = 0  # connections open, as far as own calls in flight tell
+        self.connections = 0  # open connections, estimated from the largest number of calls in flight
         self.last_used = 0  # when a connection was last used
-        self.available_index = -1  # place in the list of servers under budget, -1 when not in it
+        self.available_index = -1  # index in `BalancerState.available`; -1: not in it
         self.up = False
-        self.removed = False  # off the list: forgotten with its last outcome
-        self.listed_start = -1  # as the list last had it, on whatever clock; -1: not on the list yet
-        self.started = -1  # on this sidecar's clock: slow start counts from here
+        self.removed = False  # no longer listed: deleted after its last attempt has ended
+        self.listed_start = -1  # start time in the last list entry, by another clock; -1: not listed yet
+        self.started = -1  # start time on this sidecar's clock: slow start counts from here
         self.reset()
 
     def reset(self) -> None:
-        """A new process: nothing learned of the old one holds."""
+        """Discard what was learned about the server's previous process."""
         self.steps, self.step_size = 1, self.max_step_size
         self.probing = False
         self.backoff = self.retry_at = 0
         self.service_ratio = self.wait = 0.0
-        self.observed_at = 0  # 0: never heard of, so the fleet's mean stands in
-        self.failure_ratio = 0.0  # share of late outcomes that were failures
-        self.timeout_ratio = 0.0  # share of late outcomes that were time-outs, while they teach nothing else
-        self.class_failures: dict[
-            int, float
-        ] = {}  # by class: share of late outcomes that were failures or time-outs
-        self.connect_failures = 0  # connections that failed since the last success
+        self.observed_at = 0  # when times were last observed; 0: never, so the fleet's means are used
+        self.failure_ratio = 0.0  # moving average of failures
+        self.timeout_ratio = 0.0  # moving average of time-outs, for as long as they count as isolated
+        self.class_failures: dict[int, float] = {}  # by class: moving average of failures and time-outs
+        self.connect_failures = 0  # failed connections since the last success
 
     @property
     def budget(self) -> int:
+        """The number of calls that this sidecar may have in flight at the server."""
         return (int(self.steps * self.step_size) or 1) if self.steps else 0
--- a/covetally/policy/shutdown.py
+++ b/covetally/policy/shutdown.py
@@ -1,20 +1,20 @@
-"""The end of the process: no call is waited for past it."""
+"""Shutdown of the process: no call is open past its end."""
 
 from __future__ import annotations
 
 from covetally.policy.state import BalancerState
-from covetally.policy.dispatch import last_moment, pump
+from covetally.policy.dispatch import dispatch_queue, queue_deadline
 
 
-def end_by(state: BalancerState, now: int, end: int) -> None:
-    """Move the deadline of every open call to `end`, in ns, where it is later.
+def apply_shutdown(state: BalancerState, now: int, end: int) -> None:
+    """Move the deadline of every open call to `end`, in ns, if it is later.
 
-    Calls whose attempts are out end with those, which the caller gives up by then. Held calls are looked at
-    again: one that had time to wait may have none left.
+    Calls with pending attempts end with these, which the caller abandons by then. Queued calls are checked again,
+    since one that had time to wait may have none left.
     """
     for call in state.calls.values():
         call.deadline = min(call.deadline, end)
         call.aim_at = min(call.aim_at, end)
     for call in state.queue:
-        call.give_up = last_moment(state, call)
-    pump(state, now)
+        call.queue_until = queue_deadline(state, call)
+    dispatch_queue(state, now)
--- a/tests/incidents/test_guards.py
+++ b/tests/incidents/test_guards.py
@@ -22,7 +22,7 @@
 
 
 def test_a_repeat_that_the_decisions_want_against_the_rule_does_not_begin(monkeypatch, caplog):
-    monkeypatch.setattr(dispatch, "may_go", lambda b, now, call, server: True)
+    monkeypatch.setattr(dispatch, "may_attempt", lambda state, now, call, server: True)
 
     async def main():
         async with place(cut, cut) as here:
--- a/tests/test_balance.py
+++ b/tests/test_balance.py
@@ -72,7 +72,7 @@
     server = harness.server("s0")
     assert server.probing
     assert server.inflight == server.budget + 1
-    trial = [key for key, a in harness.balancer.state.attempts.items() if a.trial]
+    trial = [key for key, a in harness.balancer.state.attempts.items() if a.probe]
     assert len(trial) == 1
     harness.answer(*trial[0])
     assert server.steps == 2
@@ -85,7 +85,7 @@
     server = harness.server("s0")
     waits = []
     for _ in range(2):
-        trial = next(key for key, a in harness.balancer.state.attempts.items() if a.trial)
+        trial = next(key for key, a in harness.balancer.state.attempts.items() if a.probe)
         harness.answer(*trial, status=302)
         waits.append(server.backoff)
         assert server.steps == 1
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -177,15 +177,15 @@
     harness = BalancerHarness(settings(replicasOfMe=200), servers=12)
     balancer = harness.balancer
     balancer.state.zone_answered_at[0] = harness.now + 1
-    balancer.state.zone_unanswered[1] = [harness.now - 1_000 * MS] * 3
+    balancer.state.unanswered[1] = [harness.now - 1_000 * MS] * 3
     set_zone_failures(balancer.state, 1, 0.0)
     assert is_zone_cut(balancer.state, harness.now, 1)
     assert not is_zone_cut(balancer.state, harness.now, 0)
-    balancer.state.zone_unanswered.clear()
+    balancer.state.unanswered.clear()
     tid = next(
         t for t in iter(harness.accept, None) if harness.sends(t) and harness.sends(t)[0] in ("s1", "s3", "s5")
     )
-    balancer.state.zone_unanswered[1] = [harness.now - 1_000 * MS] * 3
+    balancer.state.unanswered[1] = [harness.now - 1_000 * MS] * 3
     harness.answer(tid, 0, latency=20 * MS)
     assert not is_zone_cut(balancer.state, harness.now, 1)
     assert not balancer.state.zone_alert
