--- a/covetally/interface/__init__.py
+++ b/covetally/interface/__init__.py
@@ -100,7 +100,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """The settings of one instance."""
+    """The settings of one instance.
+
+    `zone` is the instance's own zone and `index` its index among the `replicas` sidecars of the tier; `kinds` are
+    the types of servers. Queued calls are finished two `period_ns` before their deadline. `prices` are the costs
+    of a cross-zone call and of a new connection, as shares of the aim.
+    """
 
     classes: tuple[RequestClass, ...]
     zones: tuple[str, ...] = ()
