--- a/covetally/net/response_reader.py
+++ b/covetally/net/response_reader.py
@@ -20,7 +20,7 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from covetally.interface import How
+from covetally.interface import AttemptStatus
 from covetally.net.http_message import (
     MAX_BODY,
     HttpResponse,
@@ -45,7 +45,7 @@
 class ResponseResult(NamedTuple):
     """The outcome that a response proves; `response` is set if it is final for the client."""
 
-    how: How
+    how: AttemptStatus
     response: HttpResponse | None = None
 
 
@@ -79,7 +79,7 @@
         head = self._head
         assert head is not None
         return ResponseResult(
-            How.OK, HttpResponse(STATUS_OK, end_to_end(head.headers, head.fields), bytes(self._body))
+            AttemptStatus.OK, HttpResponse(STATUS_OK, end_to_end(head.headers, head.fields), bytes(self._body))
         )
 
     def _on_head(self, head: ResponseHead, sent: bool) -> ResponseResult | None:
@@ -98,16 +98,16 @@
             # server finds wrong with a request. Would do harm if servers used 4xx for failures of their own,
             # which would not count against them.
             log.warning("a server rejected a request with %d", head.status)
-            return ResponseResult(How.CANCELLED, HttpResponse(502, []))
+            return ResponseResult(AttemptStatus.CANCELLED, HttpResponse(502, []))
         if head.status == STATUS_OK and sent:
             check_framing(fields)
             self._head = head
             return None
         if head.status in NEVER_RAN_STATUS and (b"x-never-ran", b"1") in head.headers:
-            return ResponseResult(How.FULL)
+            return ResponseResult(AttemptStatus.FULL)
         if not sent:
             raise Broken("response received before the request was sent completely")
-        return ResponseResult(How.ERROR)
+        return ResponseResult(AttemptStatus.ERROR)
 
     def _on_upgrade_response(self, head: ResponseHead, switch: Switch) -> ResponseResult | None:
         """The response to a request for another protocol. 101 switches, and a status of 400 or above is passed
@@ -116,7 +116,7 @@
         if head.status == SWITCHED:
             switch.check(head)
             self.head_received = True
-            return ResponseResult(How.OK, HttpResponse(SWITCHED, end_to_end(head.headers, head.fields)))
+            return ResponseResult(AttemptStatus.OK, HttpResponse(SWITCHED, end_to_end(head.headers, head.fields)))
         if head.status < 200:
             self._count_interim()
             return None
@@ -124,7 +124,8 @@
         log.warning("a server responded to an upgrade request with %d", head.status)
         headers = [pair for pair in end_to_end(head.headers, head.fields) if pair[0] != b"content-type"]
         return ResponseResult(
-            How.CANCELLED, HttpResponse(head.status, headers) if head.status >= 400 else HttpResponse(502, [])
+            AttemptStatus.CANCELLED,
+            HttpResponse(head.status, headers) if head.status >= 400 else HttpResponse(502, []),
         )
 
     def _count_interim(self) -> None:
--- a/tests/crossings/test_leaving.py
+++ b/tests/crossings/test_leaving.py
@@ -46,10 +46,10 @@
 
 def all_released(harness: SidecarHarness) -> bool:
     """Whether no request, attempt, queue entry or budget is in use."""
-    book = harness.balancer.book
+    state = harness.balancer.state
     return not (
-        harness.sidecar._calls or book.calls or book.held or book.attempts or harness.frontend._clients
-        or any(server.inflight for server in book.servers.values())
+        harness.sidecar._calls or state.calls or state.queue or state.attempts or harness.frontend._clients
+        or any(server.inflight for server in state.servers.values())
         or any(server.unsent for server in harness.upstream._servers.values())
     )  # fmt: skip
 
@@ -117,9 +117,9 @@
             probe.send(request("probe"))
             await wait_until(lambda: len(harness.servers["s0"].requests) == 2)
             queued.send(request("queued"))
-            await wait_until(lambda: harness.balancer.book.held)
+            await wait_until(lambda: harness.balancer.state.queue)
             leave(queued, way)
-            await wait_until(lambda: not harness.balancer.book.held)
+            await wait_until(lambda: not harness.balancer.state.queue)
             leave(first, "end")
             leave(probe, "end")
             await wait_until(lambda: all_released(harness))
--- a/tests/incidents/test_guards.py
+++ b/tests/incidents/test_guards.py
@@ -11,7 +11,7 @@
 from covetally.net.close_reason import CloseReason
 from covetally.net.repeat_guard import may_repeat
 from covetally.net.shutdown_times import shutdown_times
-from covetally.policy import way
+from covetally.policy import dispatch
 from tests.loopback import respond_ok, sidecar_harness, request, wait_until
 from tests.support import MS
 
@@ -22,7 +22,7 @@
 
 
 def test_an_unsafe_retry_requested_by_the_balancer_is_not_started(monkeypatch, caplog):
-    monkeypatch.setattr(way, "may_go", lambda b, now, call, server: True)
+    monkeypatch.setattr(dispatch, "may_attempt", lambda state, now, call, server: True)
 
     async def main():
         async with sidecar_harness(reset_connection, reset_connection) as harness:
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -9,7 +9,7 @@
 from contextlib import asynccontextmanager
 from typing import Any
 
-from covetally.interface import Directory, Entry
+from covetally.interface import ServerListUpdate, ServerEntry
 from covetally.net.clock import Clock
 from covetally.net.close_reason import CloseReason
 from covetally.net.frontend import Frontend, create_listener
@@ -114,9 +114,9 @@
     def update_servers(
         self, servers: dict[str, ScriptedServer], scope: str = "FULL", lifecycle: str = "up"
     ) -> None:
-        entries = [(Entry(name, lifecycle=lifecycle), server.address) for name, server in servers.items()]
+        entries = [(ServerEntry(name, lifecycle=lifecycle), server.address) for name, server in servers.items()]
         self.upstream.update(entries, scope == "FULL")
-        self.sidecar.directory(Directory(scope, tuple(entry for entry, _ in entries)))
+        self.sidecar.directory(ServerListUpdate(scope, tuple(entry for entry, _ in entries)))
 
     async def connect(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
         return await asyncio.open_connection(*self.address)
