--- a/covetally/net/attempt.py
+++ b/covetally/net/attempt.py
@@ -26,11 +26,11 @@
 import httptools
 
 from covetally.interface import AttemptStatus
-from covetally.net.message import Broken, End, Malformed, Switched
+from covetally.net.http_message import Broken, End, Malformed, SwitchedConnection
 from covetally.net.outcome import NO_LOAD, Bounds, Outcome, Request
-from covetally.net.reply import SWITCHED, Come, Reply
+from covetally.net.response_reader import SWITCHED, ResponseResult, ResponseReader
 from covetally.net.server import Owner, Server
-from covetally.net.stream import Stream, tcp_info, unconnected
+from covetally.net.stream import Stream, tcp_info, create_tcp_socket
 from covetally.net.wheel import Timer
 
 log = logging.getLogger(__name__)
@@ -76,7 +76,7 @@
         self._sent = False  # the last byte is the kernel's: from here on it may have run
         self._reused = False
         self._verdict: AttemptStatus | None = None  # told by an answer's head; nothing after it can change that
-        self._reply = Reply(request, owner.read_load)
+        self._reply = ResponseReader(request, owner.read_load)
         self._epoch = 0
         self._phase = CONNECTING
         self._abandon: Timer | None = None
@@ -104,7 +104,7 @@
             self._connect()
             return
         self._stream, rest_s, settling_s = rested
-        self._stream.on_news, self._stream.on_room = self._news, self._room
+        self._stream.on_input, self._stream.on_flushed = self._news, self._room
         self._reused = True
         self._epoch = self._server.epoch
         if settling_s > 0:
@@ -125,7 +125,7 @@
             self._end(AttemptStatus.NOT_SENT)  # it says nothing of the server
             return
         try:
-            self._socket = sock = unconnected(address)
+            self._socket = sock = create_tcp_socket(address)
         except OSError as failure:
             owner.release()
             self._end(owner.fault_of(self._server, failure.errno))
@@ -208,7 +208,7 @@
         self._pause = None
         stream = self._stream
         assert stream is not None
-        if not looked and stream.disturbed():
+        if not looked and stream.has_input():
             self._unfit()
             return
         if self._server.leaving:
@@ -291,7 +291,7 @@
         try:
             while parts := stream.parts():
                 while parts:
-                    come = self._reply.take(parts.popleft(), self._sent)
+                    come = self._reply.add_part(parts.popleft(), self._sent)
                     if come is not None:
                         self._came(come)
                         return
@@ -307,7 +307,7 @@
         assert self._stream is not None
         return max(0, self._stream.received_at - self._began_ns)
 
-    def _came(self, come: Come) -> None:
+    def _came(self, come: ResponseResult) -> None:
         """All that counts of the answer is here."""
         stream = self._stream
         assert stream is not None
@@ -318,13 +318,13 @@
             self._wait(TAIL_S, self._end_tail)
             self._read_tail()
             return
-        answer, lag_ns = come.answer, self._lag_ns()
+        answer, lag_ns = come.response, self._lag_ns()
         assert answer is not None
         if answer.status == SWITCHED:
             sock, early = stream.detach()
             self._stream = None
             self._owner.release()
-            answer = answer._replace(switched=Switched(sock, early))
+            answer = answer._replace(switched=SwitchedConnection(sock, early))
         elif come.how is AttemptStatus.OK:
             self._give_back()
         self._finish(Outcome(come.how, self._reply.load, answer, lag_ns))
@@ -355,7 +355,7 @@
         """Keep the connection of a finished exchange if it may carry another."""
         stream, server = self._stream, self._server
         assert stream is not None
-        if self._sent and not server.leaving and self._epoch == server.epoch and stream.recycle():
+        if self._sent and not server.leaving and self._epoch == server.epoch and stream.prepare_next_message():
             self._stream = None
             self._owner.add_idle(server, stream)
 
@@ -378,7 +378,7 @@
         """
         stream = self._stream
         if self._sent:
-            how = AttemptStatus.CANCELLED if stream is not None and stream.disturbed() else AttemptStatus.TIMEOUT
+            how = AttemptStatus.CANCELLED if stream is not None and stream.has_input() else AttemptStatus.TIMEOUT
         else:
             connecting = self._socket is not None and not self._came_up()
             how = AttemptStatus.CONNECT_FAILED if connecting else AttemptStatus.NOT_SENT
@@ -388,7 +388,7 @@
         """It has failed: tell what that proves."""
         if self._phase is OVER:
             return
-        if how is AttemptStatus.RESET and self._reused and not self._reply.answered:
+        if how is AttemptStatus.RESET and self._reused and not self._reply.head_received:
             self._owner.broke()
         if self._verdict is not None:
             how = self._verdict
