--- a/covetally/interface/__init__.py
+++ b/covetally/interface/__init__.py
@@ -376,10 +376,10 @@
 class AdmissionThreshold(NamedTuple):
     """The fleet's admission threshold, in force until `until_ns`.
 
-    A request whose priority is at or above `threshold` is refused, with a random hold-off of up to `hold_off_ns`.
-    The other fields bound what all sidecars spend together: a request earns `retries_per_request` retries, of
-    which `max_saved_retries` can be saved up; two probes of a server, and two new connections to it, are at least
-    `probe_interval_ns` and `connect_interval_ns` apart (0: no bound).
+    A request whose priority is at or above `threshold` is refused, with a random hold-off between half of
+    `hold_off_ns` and all of it. The other fields bound what all sidecars spend together: a request earns
+    `retries_per_request` retries, of which `max_saved_retries` can be saved up; two probes of a server, and two
+    new connections to it, are at least `probe_interval_ns` and `connect_interval_ns` apart (0: no bound).
     """
 
     until_ns: int = 0
--- a/covetally/policy/estimates.py
+++ b/covetally/policy/estimates.py
@@ -1,4 +1,4 @@
-"""Estimates of service times and waits, from responses, time-outs, load reports and peers."""
+"""Estimates of service times and waits, from responses, timeouts, load reports and peers."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
         server.wait = wait
         record_wait(state, now, wait, warmth < 1.0)
     elif event.status == OK:
-        server.wait *= 1.0 - GAIN  # without reports, only this makes the wait learned from a time-out decay
+        server.wait *= 1.0 - GAIN  # without reports, only this makes the wait learned from a timeout decay
     service_time = 0.0
     if load:
         report = load.get("latency_ms", 0.0) * 1e6
@@ -47,7 +47,7 @@
         server.service_ratio = old + (sample - old) * weight
         server.observed_at = now
         # The means for other servers are of the work of a warm server without its queue. A report with both times
-        # of the same moment tells that better than this call.
+        # of the same moment is more accurate than this call.
         sample = (service_time / state.mean_size if service_time and wait is not None else sample) * warmth
         all_servers = state.service_ratio
         state.service_ratio = all_servers = all_servers + (sample - all_servers) * weight / 8
@@ -66,7 +66,7 @@
         server.observed_at = now
         if waited > 0:
             # The full wait was longer by an unknown time, for which the mean is added. Without it, a wait cut
-            # short by time-outs would make queues look shorter the more calls time out in them.
+            # short by timeouts would make queues look shorter the more calls time out in them.
             cold = warmth < 1.0
             record_wait(state, now, waited + mean_wait(state, now, cold), cold)
         kind, sample = ratio_of_kind(state, server), latency / attempt.size * warmth
--- a/covetally/policy/outlier_detection.py
+++ b/covetally/policy/outlier_detection.py
@@ -99,7 +99,7 @@
 def is_only_silent_zone(state: BalancerState, zone: int, since: int) -> bool:
     """Whether no call sent to a zone since then got a response, but one sent to another zone did.
 
-    On open connections a broken link shows as time-outs. If all zones time out together, the link is not the
+    On open connections a broken link shows as timeouts. If all zones time out together, the link is not the
     cause.
     """
     if state.high_traffic or state.zone_answered_at.get(zone, 0) > since:
@@ -205,7 +205,7 @@
 
     Guards against servers that are healthy but for one kind of request. The successes of the other kinds hide
     this from all detection that looks at the server as a whole. It should cover anything that a class needs and
-    one server lacks, whether that shows as time-outs, errors or resets. If all servers fail a class at similar
+    one server lacks, whether that shows as timeouts, errors or resets. If all servers fail a class at similar
     rates, none is avoided for it. A rare class whose failures are chance gets fewer servers for a while.
     """
     failures = server.class_failures.get(call.number, 0.0)
--- a/covetally/policy/server.py
+++ b/covetally/policy/server.py
@@ -70,8 +70,8 @@
         self.service_ratio = self.wait = 0.0
         self.observed_at = 0  # when times were last observed; 0: never, so the fleet's means are used
         self.failure_ratio = 0.0  # moving average of failures
-        self.timeout_ratio = 0.0  # moving average of time-outs, for as long as they count as isolated
-        self.class_failures: dict[int, float] = {}  # by class: moving average of failures and time-outs
+        self.timeout_ratio = 0.0  # moving average of timeouts, for as long as they count as isolated
+        self.class_failures: dict[int, float] = {}  # by class: moving average of failures and timeouts
         self.connect_failures = 0  # failed connections since the last success
 
     @property
