--- a/covetally/control/gauges.py
+++ b/covetally/control/gauges.py
@@ -8,7 +8,7 @@
 from collections import deque
 from typing import TYPE_CHECKING, Any, Protocol
 
-from covetally.net.message import Answer
+from covetally.net.http_message import HttpResponse
 
 if TYPE_CHECKING:
     from covetally.loop_monitor import LoopMonitor
@@ -80,7 +80,7 @@
         self._process.sidecar.on_completed = None
         logging.getLogger().removeHandler(self.ring)
 
-    def _final(self, cls: int, answer: Answer | None) -> None:
+    def _final(self, cls: int, answer: HttpResponse | None) -> None:
         if answer is None:
             kind = 3
         elif answer.status == 200:
@@ -100,7 +100,7 @@
         process = self._process
         return {
             "counts": self.counts(),
-            "shed": process.frontend.shed,
+            "shed": process.frontend.shed_requests,
             "open": process.sidecar.open_requests,
             "lag_ms": round(process.monitor.take_worst_s() * 1000, 1),
             "state": process.state,
@@ -131,10 +131,11 @@
             },
             "nodes": [
                 {
-                    "node": b.server, "up": b.up, "k": b.k, "figure": round(b.figure, 2), "in_flight": b.inflight,
-                    "age_s": round(b.age_ns / 1e9, 1) if b.age_ns >= 0 else None, "trial": b.trial,
-                    "retry_s": round(b.retry_ns / 1e9, 2), "bad": round(b.bad, 3), "refused": b.refused,
-                    "wait_ms": round(b.wait_ns / 1e6, 1), "why": b.why,
+                    "node": b.server, "up": b.up, "k": b.steps, "figure": round(b.step_size, 2),
+                    "in_flight": b.inflight, "age_s": round(b.age_ns / 1e9, 1) if b.age_ns >= 0 else None,
+                    "trial": b.probing, "retry_s": round(b.next_probe_ns / 1e9, 2),
+                    "bad": round(b.failure_ratio, 3), "refused": b.connect_failures,
+                    "wait_ms": round(b.wait_ns / 1e6, 1), "why": b.reason,
                 }
                 for b in process.sidecar.beliefs()
             ],
--- a/covetally/net/async_connection.py
+++ b/covetally/net/async_connection.py
@@ -8,8 +8,8 @@
 
 import httptools
 
-from covetally.net.message import Broken, Event
-from covetally.net.stream import Stream, unconnected
+from covetally.net.http_message import Broken, MessagePart
+from covetally.net.stream import Stream, create_tcp_socket
 
 
 class AsyncConnection:
@@ -22,7 +22,7 @@
     @classmethod
     async def connect(cls, address: tuple[str, int]) -> AsyncConnection:
         """Opens a connection; raises OSError if it cannot be established."""
-        sock = unconnected(address)
+        sock = create_tcp_socket(address)
         try:
             await asyncio.get_running_loop().sock_connect(sock, address)
             return cls(sock)
@@ -42,7 +42,7 @@
         finally:
             self._waiter = None
 
-    async def next_event(self) -> Event:
+    async def next_event(self) -> MessagePart:
         """Returns the next part of the server's message; raises Malformed if it is not valid HTTP, Broken if the
         connection was lost."""
         while not (parts := self._stream.parts()):
@@ -54,17 +54,17 @@
         written = self._stream.send(data)
         while not written:
             await self._wait()
-            if self._stream.lost:
+            if self._stream.closed:
                 raise Broken("connection lost while writing")
-            written = self._stream.written
+            written = self._stream.flushed
 
-    def disturbed(self) -> bool:
+    def has_input(self) -> bool:
         """Returns whether unexpected bytes or the end of the connection have arrived."""
-        return self._stream.disturbed()
+        return self._stream.has_input()
 
-    def recycle(self) -> bool:
+    def prepare_next_message(self) -> bool:
         """Prepares for the next message; returns False if this connection must not carry another one."""
-        return self._stream.recycle()
+        return self._stream.prepare_next_message()
 
     def close(self) -> None:
         """Closes the connection immediately."""
--- a/covetally/net/attempt.py
+++ b/covetally/net/attempt.py
@@ -29,12 +29,12 @@
 
 import httptools
 
-from covetally.interface import How
-from covetally.net.message import Broken, End, Malformed, Switched
+from covetally.interface import AttemptStatus
+from covetally.net.http_message import Broken, End, Malformed, SwitchedConnection
 from covetally.net.outcome import NO_LOAD, AttemptLimits, Outcome, Request
-from covetally.net.reply import SWITCHED, Come, Reply
+from covetally.net.response_reader import SWITCHED, ResponseResult, ResponseReader
 from covetally.net.server import ConnectionPool, Server
-from covetally.net.stream import Stream, tcp_info, unconnected
+from covetally.net.stream import Stream, tcp_info, create_tcp_socket
 from covetally.net.timer_wheel import Timer
 
 log = logging.getLogger(__name__)
@@ -80,15 +80,17 @@
         self._phase_timer: asyncio.TimerHandle | Timer | None = None
         self._sent = False  # the kernel has the last byte, so from here on the request may have run
         self._reused = False
-        self._head_outcome: How | None = None  # decided by an answer's head; nothing after it changes that
-        self._reply = Reply(request, pool.parse_load_report)
+        self._head_outcome: AttemptStatus | None = (
+            None  # decided by an answer's head; nothing after it changes that
+        )
+        self._reply = ResponseReader(request, pool.parse_load_report)
         self._incarnation = 0
         self._phase = CONNECTING
         self._abandon_timer: Timer | None = None
         self._deferred = True  # the outcome must not be reported from within the current call
         if server is None or server.draining:
             self._phase = OVER
-            self._report(Outcome(How.MOOT if server else How.CONNECT_FAILED, NO_LOAD))
+            self._report(Outcome(AttemptStatus.NOT_SENT if server else AttemptStatus.CONNECT_FAILED, NO_LOAD))
             return
         self._server = server
         server.unsent.add(self)
@@ -98,7 +100,7 @@
             self._start()
         except Exception:
             log.exception("unhandled exception in an attempt")
-            self._fail(How.RESET)
+            self._fail(AttemptStatus.RESET)
         self._deferred = False
 
     # --- before the request may have run --------------------------------------------------------
@@ -109,7 +111,7 @@
             self._connect()
             return
         self._stream, idle_s, settle_s = idle
-        self._stream.on_news, self._stream.on_room = self._on_input, self._on_flushed
+        self._stream.on_input, self._stream.on_flushed = self._on_input, self._on_flushed
         self._reused = True
         self._incarnation = self._server.incarnation
         if settle_s > 0:
@@ -127,10 +129,10 @@
         self._phase = CONNECTING
         self._incarnation = self._server.incarnation
         if not pool.reserve_connection():
-            self._fail(How.MOOT)  # this does not indicate a fault of the server
+            self._fail(AttemptStatus.NOT_SENT)  # this does not indicate a fault of the server
             return
         try:
-            self._socket = sock = unconnected(address)
+            self._socket = sock = create_tcp_socket(address)
         except OSError as failure:
             pool.release_connection()
             self._fail(pool.classify_connect_error(self._server, failure.errno))
@@ -161,7 +163,7 @@
         except OSError:
             error = 0  # a failed connection shows when the request is written
         if error:
-            self._fail(How.CONNECT_FAILED)
+            self._fail(AttemptStatus.CONNECT_FAILED)
             return
         self._pool.loop.remove_writer(sock.fileno())
         self._cancel_phase_timer()
@@ -181,7 +183,7 @@
 
     def _connect_timed_out(self) -> None:
         """Handles the connect timeout. A connection that the kernel has established is no fault of the server."""
-        self._fail(How.MOOT if self._established() else How.CONNECT_FAILED)
+        self._fail(AttemptStatus.NOT_SENT if self._established() else AttemptStatus.CONNECT_FAILED)
 
     def _established(self) -> bool:
         return self._socket is not None and tcp_info(self._socket)[0]
@@ -192,7 +194,7 @@
         self._phase_timer = None
         remaining_ns = self._limits.abandon_ns - self._pool.clock.now()
         if remaining_ns < MIN_REMAINING_NS or not self._limits.client_connected():
-            self._fail(How.MOOT)  # this process is late, or the client has left
+            self._fail(AttemptStatus.NOT_SENT)  # this process is late, or the client has left
             return
         data = self._request.encode(remaining_ns / 1e9)
         if not last_byte_delay_s:
@@ -213,17 +215,17 @@
         self._phase_timer = None
         stream = self._stream
         assert stream is not None
-        if not checked and stream.disturbed():
+        if not checked and stream.has_input():
             self._connection_unusable()
             return
         if self._server.draining:
             self._fail(
-                How.MOOT
+                AttemptStatus.NOT_SENT
             )  # the update is applied already, though `on_server_draining` is still to be called
             return
         begin_by_ns = self._limits.begin_by_ns
         if begin_by_ns and self._pool.clock.now() >= begin_by_ns:
-            self._fail(How.MOOT)  # establishing the connection took too long
+            self._fail(AttemptStatus.NOT_SENT)  # establishing the connection took too long
             return
         self._phase = LAST
         if self._send(self._last):
@@ -265,7 +267,7 @@
             self._phase = RECEIVING
             self._receive()
         else:
-            self._fail(How.RESET)
+            self._fail(AttemptStatus.RESET)
 
     def shorten_timeout(self, at_ns: int) -> None:
         """Gives the attempt up at `at_ns` on the pool's clock, if that is earlier than the current limit."""
@@ -279,7 +281,7 @@
     def on_server_draining(self) -> None:
         """Ends an unsent attempt because the server accepts no new requests. This does not count against it."""
         if not self._sent and self._server.draining:
-            self._fail(How.MOOT)
+            self._fail(AttemptStatus.NOT_SENT)
 
     # --- the answer -----------------------------------------------------------------------------
 
@@ -297,7 +299,7 @@
         try:
             while parts := stream.parts():
                 while parts:
-                    result = self._reply.take(parts.popleft(), self._sent)
+                    result = self._reply.add_part(parts.popleft(), self._sent)
                     if result is not None:
                         self._on_result(result)
                         return
@@ -305,33 +307,33 @@
             # Rejects any answer that is not certain to be complete and to belong to this request. A connection
             # that ends inside an answer counts as a reset, not as an invalid answer.
             log.warning("unusable answer: %.200s", error)
-            self._fail(How.RESET if stream.ended else How.SPOILT)
+            self._fail(AttemptStatus.RESET if stream.ended else AttemptStatus.UNUSABLE_RESPONSE)
         except OSError:
-            self._fail(How.RESET)
+            self._fail(AttemptStatus.RESET)
 
     def _lag_ns(self) -> int:
         assert self._stream is not None
         return max(0, self._stream.received_at - self._started_ns)
 
-    def _on_result(self, result: Come) -> None:
+    def _on_result(self, result: ResponseResult) -> None:
         """Handles the result of an answer, once everything that matters of it has arrived."""
         stream = self._stream
         assert stream is not None
-        if result.how in (How.FULL, How.ERROR):
+        if result.how in (AttemptStatus.FULL, AttemptStatus.ERROR):
             # The head has decided the outcome. A short wait for the body makes the connection reusable.
             self._head_outcome = result.how
             self._phase = TAIL
             self._schedule(TAIL_S, self._end_tail)
             self._receive_tail()
             return
-        answer, lag_ns = result.answer, self._lag_ns()
+        answer, lag_ns = result.response, self._lag_ns()
         assert answer is not None
         if answer.status == SWITCHED:
             sock, early = stream.detach()
             self._stream = None
             self._pool.release_connection()
-            answer = answer._replace(switched=Switched(sock, early))
-        elif result.how is How.OK:
+            answer = answer._replace(switched=SwitchedConnection(sock, early))
+        elif result.how is AttemptStatus.OK:
             self._return_connection()
         self._finish(Outcome(result.how, self._reply.load, answer, lag_ns))
 
@@ -361,7 +363,12 @@
         """Returns the connection of a finished exchange to the idle pool if it may be reused."""
         stream, server = self._stream, self._server
         assert stream is not None
-        if self._sent and not server.draining and self._incarnation == server.incarnation and stream.recycle():
+        if (
+            self._sent
+            and not server.draining
+            and self._incarnation == server.incarnation
+            and stream.prepare_next_message()
+        ):
             self._stream = None
             self._pool.add_idle(server, stream)
 
@@ -371,7 +378,7 @@
         """Cancels the attempt: its connection is closed now, and its outcome is reported soon."""
         if self._phase is not OVER:
             self._deferred = True
-            self._finish(Outcome(How.CANCELLED, self._reply.load))
+            self._finish(Outcome(AttemptStatus.CANCELLED, self._reply.load))
 
     def _time_out(self) -> None:
         """Gives the attempt up. The outcome depends only on the state of the sockets, not on how late this
@@ -385,22 +392,22 @@
         """
         stream = self._stream
         if self._sent:
-            how = How.CANCELLED if stream is not None and stream.disturbed() else How.TIMEOUT
+            how = AttemptStatus.CANCELLED if stream is not None and stream.has_input() else AttemptStatus.TIMEOUT
         else:
             connecting = self._socket is not None and not self._established()
-            how = How.CONNECT_FAILED if connecting else How.MOOT
+            how = AttemptStatus.CONNECT_FAILED if connecting else AttemptStatus.NOT_SENT
         self._fail(how)
 
-    def _fail(self, how: How) -> None:
+    def _fail(self, how: AttemptStatus) -> None:
         """Ends the attempt after a failure, with the outcome that the failure proves."""
         if self._phase is OVER:
             return
-        if how is How.RESET and self._reused and not self._reply.answered:
+        if how is AttemptStatus.RESET and self._reused and not self._reply.head_received:
             self._pool.record_broken_idle()
         if self._head_outcome is not None:
             how = self._head_outcome
-        elif not self._sent and how is not How.MOOT:
-            how = How.CONNECT_FAILED
+        elif not self._sent and how is not AttemptStatus.NOT_SENT:
+            how = AttemptStatus.CONNECT_FAILED
         self._finish(Outcome(how, self._reply.load))
 
     def _finish(self, outcome: Outcome) -> None:
--- a/covetally/net/discovery.py
+++ b/covetally/net/discovery.py
@@ -26,7 +26,7 @@
 from covetally.net import discovery_schedule
 from covetally.net.config import Address
 from covetally.net.discovery_call import DiscoveryCall
-from covetally.net.message import Malformed
+from covetally.net.http_message import Malformed
 from covetally.net.server_list import ListError, ListUpdate, parse_list, parse_partial_list
 from covetally.net.async_connection import AsyncConnection
 
@@ -58,7 +58,7 @@
     """Watches the server list. The last known list stays in use while discovery is down."""
 
     def __init__(self, settings: Settings, address: Address) -> None:
-        self._pushed = not settings.must_ask
+        self._pushed = not settings.must_subscribe
         self._settings = settings
         self._grace_s = settings.invariants.drain_grace_ns / 1e9
         self._address = address
@@ -141,7 +141,7 @@
 
     def _take_connection(self) -> AsyncConnection | None:
         connection, self._connection = self._connection, None
-        if connection is not None and connection.disturbed():
+        if connection is not None and connection.has_input():
             connection.close()
             return None
         return connection
--- a/covetally/net/discovery_call.py
+++ b/covetally/net/discovery_call.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from covetally.net.config import Address
-from covetally.net.message import Broken, End, ResponseHead, encode
+from covetally.net.http_message import Broken, End, ResponseHead, encode
 from covetally.net.server_list import ListError
 from covetally.net.async_connection import AsyncConnection
 
@@ -48,7 +48,7 @@
     def take_connection(self) -> AsyncConnection | None:
         """Hands over the connection of an answered call for the next call; None if it cannot be reused."""
         connection, self._connection = self._connection, None
-        if connection is not None and not connection.recycle():
+        if connection is not None and not connection.prepare_next_message():
             connection.close()
             return None
         return connection
--- a/covetally/net/extensions.py
+++ b/covetally/net/extensions.py
@@ -6,7 +6,7 @@
 import socket
 from typing import Any, NamedTuple, Protocol
 
-from covetally.net.message import Answer, Headers, RequestHead
+from covetally.net.http_message import HttpResponse, Headers, RequestHead
 from covetally.net.outcome import Switch
 from covetally.net.sidecar import RequestInfo
 
@@ -31,13 +31,13 @@
     def begin(self, head: RequestHead) -> Upgrade:
         """Returns the request to forward; raises Malformed if it must not be forwarded."""
 
-    def admit(self, upgrade: Upgrade) -> Answer | None:
+    def admit(self, upgrade: Upgrade) -> HttpResponse | None:
         """Returns None if a connection limit leaves room for the request, else the refusal."""
 
-    def declined(self, upgrade: Upgrade, answer: Answer | None) -> None:
+    def declined(self, upgrade: Upgrade, answer: HttpResponse | None) -> None:
         """Called when the request got another answer than 101, or None if its client has left."""
 
-    def switched(self, upgrade: Upgrade, client: tuple[socket.socket, bytes], answer: Answer) -> None:
+    def switched(self, upgrade: Upgrade, client: tuple[socket.socket, bytes], answer: HttpResponse) -> None:
         """Takes over both connections after a server has agreed. `client` is the client's socket, with the bytes
         that the client sent early."""
 
--- a/covetally/net/outcome.py
+++ b/covetally/net/outcome.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable, Mapping
 from typing import NamedTuple, Protocol
 
-from covetally.interface import How
-from covetally.net.message import Answer, Headers, ResponseHead
+from covetally.interface import AttemptStatus
+from covetally.net.http_message import HttpResponse, Headers, ResponseHead
 
 Load = Mapping[str, float]
 NO_LOAD: Load = {}
@@ -58,7 +58,7 @@
     that the answer waited in this process is not included.
     """
 
-    how: How
+    how: AttemptStatus
     load: Load
-    answer: Answer | None = None
+    answer: HttpResponse | None = None
     lag_ns: int = 0
--- a/covetally/net/server.py
+++ b/covetally/net/server.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from covetally.interface import How
+from covetally.interface import AttemptStatus
 from covetally.net.clock import Clock
 from covetally.net.config import Address
 from covetally.net.outcome import Load
@@ -57,7 +57,7 @@
     def release_connection(self) -> None:
         """Releases a reserved connection that was closed or not established."""
 
-    def classify_connect_error(self, server: Server, error: int | None) -> How:
+    def classify_connect_error(self, server: Server, error: int | None) -> AttemptStatus:
         """Returns the outcome for a connect that failed at once with this errno: MOOT if the error does not
         indicate a fault of the server."""
 
--- a/covetally/net/server_list.py
+++ b/covetally/net/server_list.py
@@ -7,9 +7,9 @@
 from typing import Any, NamedTuple
 
 from covetally.errors import DamagedError
-from covetally.interface import Entry, Settings
+from covetally.interface import ServerEntry, Settings
 from covetally.net.config import Address
-from covetally.net.message import split_address
+from covetally.net.http_message import split_address
 
 LIFECYCLES = {"active": "up", "leaving": "draining", "left": "removed"}
 
@@ -30,7 +30,7 @@
 
     generation: int
     full: bool
-    entries: list[tuple[Entry, Address]]
+    entries: list[tuple[ServerEntry, Address]]
 
 
 def parse_list(settings: Settings, raw: Any) -> ListUpdate:
@@ -44,11 +44,11 @@
         raise ListError(f"{type(error).__name__}: {error}") from None
 
 
-def _entry(settings: Settings, item: dict[str, Any]) -> tuple[Entry, Address]:
+def _entry(settings: Settings, item: dict[str, Any]) -> tuple[ServerEntry, Address]:
     name = item["instanceId"]
     if not isinstance(name, str) or not name:
         raise ListError(f"instanceId is not a non-empty string: {name!r}")
-    entry = Entry(
+    entry = ServerEntry(
         server=name,
         zone=_index(settings.zones, item.get("zone")),
         kind=_index(settings.kinds, item.get("machineType")),
@@ -65,7 +65,7 @@
     return names.index(name) if name in names else len(names)
 
 
-def parse_partial_list(settings: Settings, text: str) -> list[tuple[Entry, Address]]:
+def parse_partial_list(settings: Settings, text: str) -> list[tuple[ServerEntry, Address]]:
     """Returns the entries that were received completely in a truncated answer; each of them is valid."""
     entries = []
     start = _PREAMBLE.match(text)
--- a/covetally/net/sidecar.py
+++ b/covetally/net/sidecar.py
@@ -13,33 +13,33 @@
 from typing import NamedTuple, Protocol
 
 from covetally.interface import (
-    Accept,
-    NEVER_RAN,
+    RequestReceived,
+    NOT_EXECUTED,
     Action,
-    Alarm,
-    Belief,
-    Defer,
-    Directory,
-    Ending,
+    TimerFired,
+    ServerStatus,
+    SetTimer,
+    ServerListUpdate,
+    Shutdown,
     Event,
     Fail,
-    Hangup,
-    Heard,
-    Held,
-    How,
+    ClientDisconnected,
+    PeerMessage,
+    UpgradedConnections,
+    AttemptStatus,
     Refuse,
-    Response,
-    Retract,
+    AttemptEnded,
+    CancelAttempt,
     Settings,
-    Signal,
+    SendToPeer,
     Submit,
     Subscribe,
-    Suspect,
+    ServerUnresponsive,
 )
 from covetally.net.attempt import Attempt
 from covetally.net.clock import Clock
 from covetally.net.invariants import Invariant, Violations
-from covetally.net.message import Answer, encode
+from covetally.net.http_message import HttpResponse, encode
 from covetally.net.outcome import AttemptLimits, Outcome, Request
 from covetally.net.repeat_guard import may_repeat
 from covetally.net.upstream import Upstream
@@ -70,7 +70,7 @@
     def place(self, name: bytes, cls: int, tenant: int, retry: bool) -> float:
         """Returns a request's priority, on one scale for the whole fleet."""
 
-    def outcome(self, event: Response, cls: int) -> None:
+    def outcome(self, event: AttemptEnded, cls: int) -> None:
         """Called when an attempt has ended."""
 
     def ended(self, served: bool) -> None:
@@ -90,7 +90,7 @@
     def client_connected(self) -> bool:
         """Returns whether the client is still connected. If it has left, the request is cancelled."""
 
-    def finish(self, answer: Answer) -> None:
+    def finish(self, answer: HttpResponse) -> None:
         """Sends the complete answer to the client."""
 
 
@@ -128,12 +128,12 @@
         self._accepted = 0
         self._sweep: Timer | None = None
         # Called with the server and the outcome of each attempt.
-        self.on_outcome: Callable[[str, How], None] | None = None
+        self.on_outcome: Callable[[str, AttemptStatus], None] | None = None
         # Called with the server, the outcome, the class of the call and the start time of the attempt.
-        self.on_attempt: Callable[[str, How, int, int], None] | None = None
+        self.on_attempt: Callable[[str, AttemptStatus, int, int], None] | None = None
         self.observer: RequestObserver | None = None
         # Called with the class and the final answer of each request; None: the client has left.
-        self.on_completed: Callable[[int, Answer | None], None] | None = None
+        self.on_completed: Callable[[int, HttpResponse | None], None] | None = None
         self.violations = Violations()
         self._classes = settings.classes
         self.tracing = False  # log each attempt and each answer at DEBUG
@@ -143,11 +143,11 @@
     def apply_settings(self, settings: Settings) -> None:
         """Applies changed settings; the classes themselves must be the same."""
         self._classes = settings.classes
-        self._balancer.retune(settings)
+        self._balancer.reconfigure(settings)
 
-    def beliefs(self) -> list[Belief]:
+    def beliefs(self) -> list[ServerStatus]:
         """Returns the balancer's state of each server."""
-        return self._balancer.beliefs(self._clock.now())
+        return self._balancer.server_statuses(self._clock.now())
 
     def zones(self) -> dict[str, int]:
         """Returns the zone of each server that is up."""
@@ -168,12 +168,12 @@
     @property
     def max_wait_ns(self) -> int:
         """While the balancer sheds load, requests that have waited for longer are refused."""
-        return self._balancer.old
+        return self._balancer.queue_age_limit
 
     def early_refusal(self, age_ns: int, retry: bool) -> bytes:
         """Returns the encoded refusal for a request that has waited for `age_ns` and is not parsed yet; empty if
         the request is admitted."""
-        hold_off_ns = self._balancer.glance(self._clock.now(), age_ns, retry)
+        hold_off_ns = self._balancer.overload_hold_off(self._clock.now(), age_ns, retry)
         return _encoded_refusal(hold_off_ns) if hold_off_ns else b""
 
     def accept(
@@ -194,7 +194,7 @@
         place = 0.0
         if self.observer is not None:
             place = self.observer.place(name, cls, info.tenant, info.retry)
-        self._handle(Accept(tid, cls, ttl_ns, *rest, age_ns, let_in, upgrade, place), now)
+        self._handle(RequestReceived(tid, cls, ttl_ns, *rest, age_ns, let_in, upgrade, place), now)
         return tid
 
     def shut_down_by(self, at: float) -> None:
@@ -208,7 +208,7 @@
             call.deadline_ns = min(call.deadline_ns, self._shutdown_ns)
             for attempt in call.attempts.values():
                 attempt.shorten_timeout(self._shutdown_ns)
-        self._handle(Ending(self._shutdown_ns), now)
+        self._handle(Shutdown(self._shutdown_ns), now)
 
     def client_left(self, tid: str) -> None:
         """Cancels a request whose client has left, and closes the connections of its attempts."""
@@ -218,16 +218,16 @@
         self._close(call, None)
         if self.tracing:
             log.debug("request %s: the client has left", self._client_id(tid))
-        self._handle(Hangup(tid))
+        self._handle(ClientDisconnected(tid))
         self._remove_if_done(tid, call)
 
-    def update_servers(self, event: Directory) -> None:
+    def update_servers(self, event: ServerListUpdate) -> None:
         """Passes an update of the server list on to the balancer."""
         self._handle(event)
 
     def report_unresponsive(self, server: str) -> None:
         """Reports that a server does not respond, on evidence other than attempts."""
-        self._handle(Suspect(server))
+        self._handle(ServerUnresponsive(server))
 
     def handle_event(self, event: Event) -> None:
         """Passes an event on to the balancer, such as the tier's view of servers or this sidecar's share of a
@@ -240,11 +240,11 @@
 
     def adjust_held_connections(self, server: str, change: int) -> None:
         """Reports that `change` more connections of another protocol are open to a server, or fewer."""
-        self._handle(Held(server, change))
+        self._handle(UpgradedConnections(server, change))
 
     def receive_gossip(self, blob: bytes) -> None:
         """Passes a gossip message from another sidecar on to the balancer."""
-        self._handle(Heard(blob))
+        self._handle(PeerMessage(blob))
 
     def _schedule_sweep(self) -> None:
         loop = asyncio.get_running_loop()
@@ -263,7 +263,7 @@
             if not call.over:
                 self.violations.report(Invariant.OVERDUE, self._client_id(tid), "not answered by its deadline")
                 self.client_left(tid)
-                call.exchange.finish(Answer(502, []))
+                call.exchange.finish(HttpResponse(502, []))
         if self._calls:
             self._schedule_sweep()
 
@@ -273,7 +273,7 @@
             actions = self._balancer.handle(now, event)
         except Exception:  # a bug in the balancer affects only the request at hand, not the process
             log.exception("unhandled exception in the balancer on %s", type(event).__name__)
-            actions = [Fail(event.tid)] if isinstance(event, Accept | Response) else []
+            actions = [Fail(event.tid)] if isinstance(event, RequestReceived | AttemptEnded) else []
         for action in actions:
             if type(action) is Submit:
                 self._submit(action, now)
@@ -287,14 +287,14 @@
             case Refuse(tid, hold_off_ns):
                 self._finish(tid, refusal(hold_off_ns))
             case Fail(tid):
-                self._finish(tid, Answer(502, []))
-            case Retract(tid, attempt):
+                self._finish(tid, HttpResponse(502, []))
+            case CancelAttempt(tid, attempt):
                 call = self._calls.get(tid)
                 if call is not None and attempt in call.attempts:
                     call.attempts[attempt].cancel()
-            case Defer(in_ns, tag):
-                asyncio.get_running_loop().call_later(in_ns / 1e9, self._handle, Alarm(tag))
-            case Signal(peer, blob):
+            case SetTimer(in_ns, tag):
+                asyncio.get_running_loop().call_later(in_ns / 1e9, self._handle, TimerFired(tag))
+            case SendToPeer(peer, blob):
                 self._send_gossip(peer, blob)
             case Subscribe():
                 self._subscribe()
@@ -308,7 +308,7 @@
         call.sent += 1
         abandon_ns = min(action.abandon_ns, call.deadline_ns)
         if call.over or abandon_ns <= now or (number and not self._may_repeat(action, call, now)):
-            event = Response(action.tid, How.MOOT, 0, action.server, number, call.over)
+            event = AttemptEnded(action.tid, AttemptStatus.NOT_SENT, 0, action.server, number, call.over)
             asyncio.get_running_loop().call_soon(self._handle, event)
             return
         if self.tracing:
@@ -348,7 +348,7 @@
                 call.exchange.finish(answer)
             elif answer.switched is not None:
                 answer.switched.sock.close()  # the client has left
-        elif not call.ran_at_ns and outcome.how not in NEVER_RAN:
+        elif not call.ran_at_ns and outcome.how not in NOT_EXECUTED:
             call.ran_at_ns = sent_ns
         if self.on_outcome is not None:
             self.on_outcome(action.server, outcome.how)
@@ -358,13 +358,13 @@
         elapsed_ns = now - sent_ns
         lag_ns = outcome.lag_ns or elapsed_ns
         own_ns = max(0, elapsed_ns - lag_ns)
-        event = Response(tid, outcome.how, lag_ns, action.server, number, call.over, outcome.load, own_ns)
+        event = AttemptEnded(tid, outcome.how, lag_ns, action.server, number, call.over, outcome.load, own_ns)
         if self.observer is not None:
             self.observer.outcome(event, call.cls)
         self._handle(event, now)
         self._remove_if_done(tid, call)
 
-    def _finish(self, tid: str, answer: Answer) -> None:
+    def _finish(self, tid: str, answer: HttpResponse) -> None:
         call = self._calls.get(tid)
         if call is None or call.over:
             return
@@ -374,7 +374,7 @@
         call.exchange.finish(answer)
         self._remove_if_done(tid, call)
 
-    def _close(self, call: _Call, answer: Answer | None) -> None:
+    def _close(self, call: _Call, answer: HttpResponse | None) -> None:
         """Ends a request and cancels its remaining attempts."""
         call.over = True
         if self.on_completed is not None:
@@ -395,6 +395,6 @@
     return encode(b"HTTP/1.1 %d " % answer.status, [*answer.headers, (b"content-length", b"0")], b"")
 
 
-def refusal(hold_off_ns: int) -> Answer:
+def refusal(hold_off_ns: int) -> HttpResponse:
     """Returns a refusal that tells the client when to retry."""
-    return Answer(503, [(b"retry-after", b"%.3f" % (hold_off_ns / 1e9))] if hold_off_ns > 0 else [])
+    return HttpResponse(503, [(b"retry-after", b"%.3f" % (hold_off_ns / 1e9))] if hold_off_ns > 0 else [])
--- a/covetally/net/upstream.py
+++ b/covetally/net/upstream.py
@@ -8,13 +8,13 @@
 from collections.abc import Callable
 from functools import partial
 
-from covetally.interface import Entry, How, Settings
+from covetally.interface import ServerEntry, AttemptStatus, Settings
 from covetally.net.attempt import Attempt
 from covetally.net.clock import Clock
 from covetally.net.config import Address
 from covetally.net.outcome import NO_LOAD, AttemptLimits, Load, Outcome, Request
 from covetally.net.server import Server
-from covetally.net.stream import Stream, unwanted
+from covetally.net.stream import Stream, ignore_event
 from covetally.net.system_errors import LOCAL_CONNECT_ERRORS
 
 log = logging.getLogger(__name__)
@@ -59,7 +59,7 @@
 
     # --- the server list ------------------------------------------------------------------------
 
-    def update(self, entries: list[tuple[Entry, Address]], full: bool) -> None:
+    def update(self, entries: list[tuple[ServerEntry, Address]], full: bool) -> None:
         """Applies an update of the server list; `full` means that servers not in it were removed."""
         removed = self._servers.keys() - {entry.server for entry, _ in entries} if full else set()
         for entry, address in entries:
@@ -99,7 +99,7 @@
     def _drop(self, server: Server, stream: Stream) -> None:
         """Closes an idle connection."""
         del server.idle[stream]
-        stream.on_news = unwanted
+        stream.on_input = ignore_event
         stream.abort()
         self._open_count -= 1
 
@@ -108,9 +108,9 @@
         timeout."""
         now = self.loop.time()
         server.idle[stream] = now
-        stream.on_room = unwanted
+        stream.on_flushed = ignore_event
         # Bytes that arrive now belong to no request and must not be read as the next request's answer.
-        stream.on_news = partial(self._drop, server, stream)
+        stream.on_input = partial(self._drop, server, stream)
         if server.idle_timer is None:
             server.idle_timer = self.wheel.call_at(now + self._idle_s, partial(self._close_expired, server))
 
@@ -145,7 +145,7 @@
                     stream = other
                     break
             since = idle[stream]
-            if stream.disturbed():
+            if stream.has_input():
                 self._drop(server, stream)
             else:
                 del idle[stream]
@@ -168,7 +168,7 @@
         """Releases a reserved connection that was closed or not established."""
         self._open_count -= 1
 
-    def classify_connect_error(self, server: Server, error: int | None) -> How:
+    def classify_connect_error(self, server: Server, error: int | None) -> AttemptStatus:
         """Returns the outcome for a connect that failed at once with this errno.
 
         A lack of resources on this machine (descriptors, memory, ports, a route) does not indicate a fault of the
@@ -177,14 +177,14 @@
         server, and the failures count against it.
         """
         if error not in LOCAL_CONNECT_ERRORS:
-            return How.CONNECT_FAILED
+            return AttemptStatus.CONNECT_FAILED
         if not server.local_failures:
             server.local_failures_since = self.loop.time()
         server.local_failures += 1
         only_here = (
             server.local_failures >= LOCAL_FAILURE_LIMIT and self._connected_at > server.local_failures_since
         )
-        return How.CONNECT_FAILED if only_here else How.MOOT
+        return AttemptStatus.CONNECT_FAILED if only_here else AttemptStatus.NOT_SENT
 
     def record_connected(self, server: Server) -> None:
         """Records that a connection to the server was established."""
--- a/covetally/process.py
+++ b/covetally/process.py
@@ -18,13 +18,13 @@
 from typing import TYPE_CHECKING, Any, Protocol
 
 from covetally.configuration import NO_ROSTER, Configuration
-from covetally.interface import Directory
+from covetally.interface import ServerListUpdate
 from covetally.loop_monitor import LoopMonitor
-from covetally.net import early
+from covetally.net import startup_signals
 from covetally.net.clock import Clock
 from covetally.net.config import ConfigError
 from covetally.net.discovery import Discovery
-from covetally.net.frontend import Frontend, bound
+from covetally.net.frontend import Frontend, create_listener
 from covetally.net.peers import Peers
 from covetally.net.extensions import Claims
 from covetally.net.server_list import ListError, ListUpdate, parse_list
@@ -116,7 +116,7 @@
 
     def drain(self, within_s: float | None) -> None:
         """Tell clients to stay away, and hold none of them after so many seconds."""
-        self.frontend.drain_by_order(within_s)
+        self.frontend.start_drain(within_s)
 
     def resume(self) -> None:
         """Let clients come back."""
@@ -155,7 +155,7 @@
         signals.on(signal.SIGHUP, asked.set)
         await self._start()
         signals.on(signal.SIGHUP, self.reload)
-        if asked.is_set() or early.told():
+        if asked.is_set() or startup_signals.sighup_received():
             self.reload()
         if self.manager is not None:
             self.manager.start()
@@ -181,7 +181,7 @@
             except ListError as error:
                 log.warning("known: no usable list: %s", error)
         self.discovery.on_update = self._listed
-        self.discovery.on_failure = lambda: self.sidecar.update_servers(Directory("FAILED"))
+        self.discovery.on_failure = lambda: self.sidecar.update_servers(ServerListUpdate("FAILED"))
         self.peers.on_message = self._datagram
         if config.peer_listen is not None:
             await _bind("peer_listen", lambda: self.peers.listen(config.peer_listen))
@@ -198,9 +198,9 @@
         if self.manager is not None:
             self.manager.restore_orders()
         if self.member is not None:
-            self.address = self.frontend.adopt(self.member.listener, self.member.claims)
+            self.address = self.frontend.start_accepting(self.member.listener, self.member.claims)
         else:
-            self.address = self.frontend.adopt(await self._listener())
+            self.address = self.frontend.start_accepting(await self._listener())
         if self.roster is None:
             self.discovery.start()
         if "register.app" in self.values:
@@ -219,7 +219,7 @@
         tries = 0
         while True:
             try:
-                return bound(config.listen, config.backlog)
+                return create_listener(config.listen, config.backlog)
             except OSError as error:
                 tries += 1
                 if tries >= LISTEN_TRIES.get(error.errno or 0, 1):
@@ -231,7 +231,7 @@
     def _apply_update(self, news: ListUpdate, scope: str) -> None:
         # Upstream first: the module may submit to a server in the same breath as it hears of it.
         self.upstream.update(news.entries, news.full)
-        self.sidecar.update_servers(Directory(scope, tuple(entry for entry, _ in news.entries)))
+        self.sidecar.update_servers(ServerListUpdate(scope, tuple(entry for entry, _ in news.entries)))
         if self.tier is not None:
             self.tier.listed(self.sidecar.zones())
 
@@ -344,7 +344,7 @@
             await self.registrar.stop(cancel=not alone)
         if self.manager is not None:
             self.manager.goodbye()
-        await self.frontend.drain(self.configuration.shutdown.closed_s, accept=not alone)
+        await self.frontend.shut_down(self.configuration.shutdown.closed_s, accept=not alone)
         self.monitor.stop()
         self.discovery.stop()
         if self.tier is not None:
--- a/tests/crossings/test_list.py
+++ b/tests/crossings/test_list.py
@@ -9,15 +9,15 @@
 
 import pytest
 
-from covetally.interface import Directory
+from covetally.interface import ServerListUpdate
 from covetally.net import discovery_schedule
 from covetally.net.discovery import Discovery
 from covetally.net.server_list import ListUpdate
-from covetally.policy.roster import ASK_GAP
-from tests.loopback import Server, answer, place, until
-from tests.support import MS, Paper, settings
+from covetally.policy.server_list import MEAN_SUBSCRIBE_DELAY
+from tests.loopback import ScriptedServer, response, sidecar_harness, wait_until
+from tests.support import MS, BalancerHarness, settings
 
-MAX_PAUSE_S = 1.8 * ASK_GAP / 1e9
+MAX_PAUSE_S = 1.8 * MEAN_SUBSCRIBE_DELAY / 1e9
 
 
 def members(generation: int, *lifecycles: str, whole: bool = True) -> bytes:
@@ -25,7 +25,7 @@
         {"instanceId": f"s{i}", "hostPort": f"127.0.0.1:{9 + i}", "lifecycle": state}
         for i, state in enumerate(lifecycles)
     ]
-    return answer(json.dumps({"generation": generation, "reset": whole, "instances": instances}).encode())
+    return response(json.dumps({"generation": generation, "reset": whole, "instances": instances}).encode())
 
 
 def test_notification_time_has_room_for_failed_calls():
@@ -44,13 +44,13 @@
     pauses = []
     for seed in range(8):
         invariants = {"mustAskInNs": must_ask_s * 1_000 * MS}
-        paper = Paper(settings(discovery="subscribe", invariants=invariants), seed=seed)
+        harness = BalancerHarness(settings(discovery="subscribe", invariants=invariants), seed=seed)
         for _ in range(12):
-            start, asks = paper.now, paper.asks
-            while paper.asks == asks:
-                paper.advance(10 * MS)
-            pauses.append((paper.now - start) / 1e9)
-            paper.feed(Directory("FAILED"))
+            start, asks = harness.now, harness.subscriptions
+            while harness.subscriptions == asks:
+                harness.advance(10 * MS)
+            pauses.append((harness.now - start) / 1e9)
+            harness.feed(ServerListUpdate("FAILED"))
     assert max(pauses) <= MAX_PAUSE_S + 0.02
     assert len({round(pause, 2) for pause in pauses}) > 30, "without jitter, all sidecars call at the same time"
 
@@ -66,7 +66,7 @@
         async def discover(server, got, reader, writer):
             if not state["ok"]:
                 if failure == "503":
-                    writer.write(answer(b"", b"503 Busy"))
+                    writer.write(response(b"", b"503 Busy"))
                 writer.close()
                 return
             lifecycles = ("active", "leaving" if state["drains"] else "active")
@@ -74,31 +74,35 @@
                 await asyncio.sleep(0.3)
             writer.write(members(next(numbers), *lifecycles))
 
-        async with place(more={"discovery": "subscribe", "invariants": {"mustAskInNs": 10_000 * MS}}) as here:
-            server = Server(discover)
+        async with sidecar_harness(
+            more={"discovery": "subscribe", "invariants": {"mustAskInNs": 10_000 * MS}}
+        ) as here:
+            server = ScriptedServer(discover)
             await server.start()
             updates: list[tuple[float, ListUpdate]] = []
-            discovery = Discovery(here.sidecar._balancer.book.settings, server.address)
+            discovery = Discovery(here.sidecar._balancer.state.settings, server.address)
             discovery.on_update = lambda update: (
                 updates.append((time.monotonic(), update)),
-                here.sidecar.update_servers(Directory("FULL", tuple(entry for entry, _ in update.entries))),
+                here.sidecar.update_servers(
+                    ServerListUpdate("FULL", tuple(entry for entry, _ in update.entries))
+                ),
             )
-            discovery.on_failure = lambda: here.sidecar.update_servers(Directory("FAILED"))
+            discovery.on_failure = lambda: here.sidecar.update_servers(ServerListUpdate("FAILED"))
             here.sidecar._subscribe = discovery.subscribe
-            here.balancer.book.random = lambda: 0.999
-            here.sidecar.update_servers(Directory("FAILED"))
-            await until(lambda: updates)
+            here.balancer.state.random = lambda: 0.999
+            here.sidecar.update_servers(ServerListUpdate("FAILED"))
+            await wait_until(lambda: updates)
             state["ok"] = False
             if failure == "refused":
                 server.stop()
             await asyncio.sleep(5.0)  # enough failures for the pauses to have grown
             if failure == "refused":
-                new_server = Server(discover)
+                new_server = ScriptedServer(discover)
                 new_server._server = await asyncio.start_server(new_server._serve, *server.address)
                 server = new_server
             state.update(ok=True, drains=True)
             recovered = time.monotonic()
-            await until(lambda: updates[-1][0] > recovered)
+            await wait_until(lambda: updates[-1][0] > recovered)
             assert updates[-1][0] - recovered < MAX_PAUSE_S + 0.5
             assert updates[-1][1].entries[1][0].lifecycle == "draining"
             discovery.stop()
@@ -132,18 +136,18 @@
                 await asyncio.Event().wait()
             writer.write(members(3, "active"))
 
-        async with place(more={"invariants": {"drainGraceNs": 500 * MS}}) as here:
-            server = Server(discover)
+        async with sidecar_harness(more={"invariants": {"drainGraceNs": 500 * MS}}) as here:
+            server = ScriptedServer(discover)
             await server.start()
             updates: list[float] = []
-            discovery = Discovery(here.sidecar._balancer.book.settings, server.address)
+            discovery = Discovery(here.sidecar._balancer.state.settings, server.address)
             discovery.on_update = lambda update: updates.append(time.monotonic())
             discovery.on_failure = lambda: None
             discovery.start()
-            await until(lambda: server.got)
+            await wait_until(lambda: server.requests)
             state["silent"] = False
             recovered = time.monotonic()
-            await until(lambda: updates)
+            await wait_until(lambda: updates)
             assert updates[0] - recovered < 0.45
             discovery.stop()
             server.stop()
@@ -163,7 +167,7 @@
                 await asyncio.sleep(0.6)  # longer than the first call's timeout; the other calls fail at once
                 writer.write(members(3, "active"))
             elif b"wait=2000" not in got:
-                writer.write(answer(b"", b"503 Busy"))
+                writer.write(response(b"", b"503 Busy"))
             else:
                 state["watching"] += 1
                 state["most"] = max(state["most"], state["watching"])
@@ -171,14 +175,14 @@
                 state["watching"] -= 1
                 writer.write(members(3, whole=False))
 
-        async with place(more={"invariants": {"drainGraceNs": 500 * MS}}) as here:
-            server = Server(discover)
+        async with sidecar_harness(more={"invariants": {"drainGraceNs": 500 * MS}}) as here:
+            server = ScriptedServer(discover)
             await server.start()
             updates: list[ListUpdate] = []
-            discovery = Discovery(here.sidecar._balancer.book.settings, server.address)
+            discovery = Discovery(here.sidecar._balancer.state.settings, server.address)
             discovery.on_update = updates.append
             discovery.start()
-            await until(lambda: updates)
+            await wait_until(lambda: updates)
             await asyncio.sleep(1.0)
             assert state["most"] == 1
             discovery.stop()
--- a/tests/crossings/test_retrying.py
+++ b/tests/crossings/test_retrying.py
@@ -7,11 +7,11 @@
 
 import pytest
 
-from covetally.interface import How, Submit
+from covetally.interface import AttemptStatus, Submit
 from covetally.net import sidecar, upstream
-from tests.crossings.test_leaving import slow_to_come_up
-from tests.loopback import fine, place, read_message, request, until
-from tests.support import MS, Paper, settings
+from tests.crossings.test_leaving import slow_to_accept
+from tests.loopback import respond_ok, sidecar_harness, read_message, request, wait_until
+from tests.support import MS, BalancerHarness, settings
 
 CLASSES = [
     {
@@ -22,20 +22,20 @@
 LIMITS = {"maxAttempts": 4, "connectTimeoutNs": 2_000 * MS}
 
 
-def submits(paper: Paper, actions) -> list[Submit]:
+def submits(harness: BalancerHarness, actions) -> list[Submit]:
     return [action for action in actions if isinstance(action, Submit)]
 
 
 def test_repeat_of_a_guarded_request_has_a_latest_start_time():
-    paper = Paper(settings(limits={"maxAttempts": 4}), servers=4)
+    harness = BalancerHarness(settings(limits={"maxAttempts": 4}), servers=4)
     for cls, guarded in ((2, True), (0, False)):
-        tid = paper.accept(cls)
-        sent_ns = paper.now
-        assert paper.history[tid][0][1] == sent_ns
-        paper.advance(50 * MS)
-        (again,) = submits(paper, paper.answer(tid, 0, How.RESET))
+        tid = harness.accept(cls)
+        sent_ns = harness.now
+        assert harness.history[tid][0][1] == sent_ns
+        harness.advance(50 * MS)
+        (again,) = submits(harness, harness.answer(tid, 0, AttemptStatus.RESET))
         assert again.begin_by_ns == (sent_ns + 400 * MS if guarded else 0)
-        paper.answer(tid, 1)
+        harness.answer(tid, 1)
 
 
 def test_guarded_repeat_is_not_sent_if_its_connection_is_established_after_the_window():
@@ -44,16 +44,16 @@
 
     async def main():
         async def cut(server, got, reader, writer):
-            here.tell(here.servers)  # adds the slow server
+            here.update_servers(here.servers)  # adds the slow server
             writer.close()
 
-        async with place(cut, fine, limits=LIMITS, classes=CLASSES) as here:
-            here.tell({"s0": here.servers["s0"]})
-            async with slow_to_come_up(here, "s1", tell=False) as got:
+        async with sidecar_harness(cut, respond_ok, limits=LIMITS, classes=CLASSES) as here:
+            here.update_servers({"s0": here.servers["s0"]})
+            async with slow_to_accept(here, "s1", listed=False) as got:
                 more = "Idempotency-Key: k1\r\n"
                 response = asyncio.create_task(here.status(request("r1", "book", b"x", "2.5", more)))
-                await until(lambda: here.servers["s0"].got)
-                await until(lambda: here.upstream.connections)
+                await wait_until(lambda: here.servers["s0"].requests)
+                await wait_until(lambda: here.upstream.connections)
                 await asyncio.sleep(0.5)
                 assert here.upstream.connections == 1, (
                     "the repeat has to be the only connection, and not established yet"
@@ -72,15 +72,15 @@
     monkeypatch.setattr(sidecar, "SWEEP_S", 9.0)  # else the timer wheel would run first and end the attempt
 
     async def main():
-        async with place(fine) as here:
+        async with sidecar_harness(respond_ok) as here:
             reader, writer = await here.connect()
             writer.write(request("one"))
             await read_message(reader)
             writer.write(request("two", expires="0.2"))
-            await until(lambda: here.sidecar._calls)
+            await wait_until(lambda: here.sidecar._calls)
             time.sleep(0.4)
             assert (await read_message(reader)).split()[1] in (b"502", b"503")
-            assert len(here.servers["s0"].got) == 1
+            assert len(here.servers["s0"].requests) == 1
             writer.close()
 
     asyncio.run(main())
@@ -91,17 +91,17 @@
     if this sidecar had received the update late. A drain must not count against the server either."""
 
     async def main():
-        async with place(fine, fine, limits=LIMITS) as here:
+        async with sidecar_harness(respond_ok, respond_ok, limits=LIMITS) as here:
             slow, other = here.servers["s0"], here.servers["s1"]
-            here.tell({"s0": slow})
-            async with slow_to_come_up(here, "s0", tell=False) as got:
-                here.tell({"s0": slow})
-                response = asyncio.create_task(here.ask(request("r1")))
-                await until(lambda: here.upstream.connections)
-                here.tell({"s1": other}, "INCREMENTAL")
-                here.tell({"s0": slow}, "INCREMENTAL", "draining")
+            here.update_servers({"s0": slow})
+            async with slow_to_accept(here, "s0", listed=False) as got:
+                here.update_servers({"s0": slow})
+                response = asyncio.create_task(here.exchange(request("r1")))
+                await wait_until(lambda: here.upstream.connections)
+                here.update_servers({"s1": other}, "INCREMENTAL")
+                here.update_servers({"s0": slow}, "INCREMENTAL", "draining")
                 assert (await response).endswith(b"for r1")
-                assert here.balancer.book.servers["s0"].refused == 0
+                assert here.balancer.state.servers["s0"].connect_failures == 0
             assert not any(got)
 
     asyncio.run(main())
@@ -122,7 +122,7 @@
     async def main():
         limit = int(expires_s * 1000) * MS
         classes = [{"name": "look", "onTimeNs": limit, "hardLimitNs": limit, "repeat": "free"}]
-        async with place(block_then_reset, block_then_reset, classes=classes) as here:
+        async with sidecar_harness(block_then_reset, block_then_reset, classes=classes) as here:
             started = time.monotonic()
             await here.status(request("r1", expires=f"{expires_s:.3f}"))
             assert seen
--- a/tests/incidents/test_system_calls.py
+++ b/tests/incidents/test_system_calls.py
@@ -16,7 +16,7 @@
 from covetally.rig.soak import Soak, SoakShape
 from covetally.rig.system_faults import SHORT, Fault, FaultSchedule
 from covetally.rig.world import Shape, World
-from tests.loopback import WAIT_S
+from tests.loopback import TEST_TIMEOUT_S
 
 # When the fault starts after the sidecar, how long it lasts, and how long service may take to recover from it.
 FAULT_START_S, FAULT_S, RECOVERY_S = 1.5, 1.0, 0.3
@@ -44,7 +44,7 @@
     async def main():
         begin_ns = time.monotonic_ns() + int((FAULT_START_S + 0.7) * SECOND)
         end_ns = begin_ns + int(FAULT_S * SECOND)
-        async with asyncio.timeout(2 * WAIT_S), World(Shape(nodes=3, instances=1, slots=16)) as world:
+        async with asyncio.timeout(2 * TEST_TIMEOUT_S), World(Shape(nodes=3, instances=1, slots=16)) as world:
             # Connections are kept only briefly, so that new ones are opened all the time.
             world.instances["a0"].config["settings"]["limits"]["connIdleNs"] = SECOND // 100
             fault = Fault(call, how, begin_ns, end_ns)
@@ -68,7 +68,7 @@
 @pytest.mark.parametrize("call", ["recv", "send", "client_recv", "client_send"])
 def test_short_reads_and_writes_change_nothing(call):
     async def main():
-        async with asyncio.timeout(2 * WAIT_S), World(Shape(nodes=2, instances=1)) as world:
+        async with asyncio.timeout(2 * TEST_TIMEOUT_S), World(Shape(nodes=2, instances=1)) as world:
             await run_load(world, (Fault(call, SHORT),), 2.0)
             verdict = world.account.judge()
             assert verdict.breaks == ()
--- a/tests/test_loop.py
+++ b/tests/test_loop.py
@@ -11,7 +11,7 @@
 import pytest
 
 from covetally.net.loop import Loop
-from tests.loopback import fine, place, request
+from tests.loopback import respond_ok, sidecar_harness, request
 
 
 def run(main: Callable[[], Coroutine]) -> None:
@@ -144,7 +144,7 @@
 @pytest.mark.parametrize("many", [1, 40])
 def test_sidecar_serves_requests_on_this_loop(many):
     async def main():
-        async with place(fine, fine, clients=64, sockets=64) as here:
+        async with sidecar_harness(respond_ok, respond_ok, clients=64, sockets=64) as here:
             got = await asyncio.gather(*(here.status(request(f"t{n}")) for n in range(many)))
             assert got == [200] * many
 
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -9,12 +9,12 @@
 import httptools
 import pytest
 
-from covetally.interface import Directory, Entry, How, Response
+from covetally.interface import ServerListUpdate, ServerEntry, AttemptStatus, AttemptEnded
 from covetally.net import upstream
-from covetally.net.message import End, Reader, ResponseHead
-from covetally.policy.pick import preferred
-from tests.loopback import answer, fine, place, read_message, request, traces, until
-from tests.support import MS, Paper, settings
+from covetally.net.http_message import End, MessageParser, ResponseHead
+from covetally.policy.pick import is_better
+from tests.loopback import response, respond_ok, sidecar_harness, read_message, request, trace_ids, wait_until
+from tests.support import MS, BalancerHarness, settings
 
 INVALID_ANSWERS = {
     "noise": b"\x8e\xfb\x00\xff\r\n\r\n\r\n",
@@ -46,127 +46,127 @@
         await reader.read()
 
     async def main():
-        async with place(answer_invalid) as here:
-            here.balancer.book.tokens = 0.0  # no further attempt
+        async with sidecar_harness(answer_invalid) as here:
+            here.balancer.state.retry_tokens = 0.0  # no further attempt
             assert await here.status(request(cls="pay")) == 502
-            server = here.balancer.book.servers["s0"]
-            assert (server.k, server.inflight) == (1, 0)
-            here.servers["s0"].script = fine
-            assert (await here.ask(request("next"))).endswith(b"for next")
+            server = here.balancer.state.servers["s0"]
+            assert (server.steps, server.inflight) == (1, 0)
+            here.servers["s0"].script = respond_ok
+            assert (await here.exchange(request("next"))).endswith(b"for next")
             assert here.upstream._open_count == 1, "the connection with the invalid answer was not closed"
 
     asyncio.run(main())
 
 
 def test_consecutive_invalid_answers_eject_the_server():
-    paper = Paper(servers=1)
-    server = paper.server("s0")
-    paper.balancer.book.heard = 1e6
+    harness = BalancerHarness(servers=1)
+    server = harness.server("s0")
+    harness.balancer.state.recent_requests = 1e6
     for count in range(3):
-        assert server.k == 1, f"ejected after {count}"
-        paper.answer(paper.accept(cls=1), 0, how=308, lag=20_000_000)
-    assert server.k == 0
+        assert server.steps == 1, f"ejected after {count}"
+        harness.answer(harness.accept(cls=1), 0, status=308, latency=20_000_000)
+    assert server.steps == 0
 
 
 def test_ejected_servers_recover_when_aims_are_shorter_than_the_connect_timeout():
     """Probes needed a call with time to spare. No call had any, so ejected servers were never probed."""
     limits = {"maxAttempts": 4, "connectTimeoutNs": 400 * MS}
     for dead in ({"s0"}, {"s0", "s1"}):
-        paper = Paper(settings(limits=limits), servers=2)
+        harness = BalancerHarness(settings(limits=limits), servers=2)
         for name in dead:
-            paper.server(name).k = 0
-        paper.balancer.book.live = 2 - len(dead)
+            harness.server(name).steps = 0
+        harness.balancer.state.live_count = 2 - len(dead)
         for _ in range(300):
-            tid = paper.accept()
-            if paper.history[tid] and (tid, 0) in paper.out:
-                paper.answer(tid, 0, lag=20 * MS)
-            paper.advance(10 * MS)
-        assert all(paper.server(name).k for name in dead)
+            tid = harness.accept()
+            if harness.history[tid] and (tid, 0) in harness.outstanding:
+                harness.answer(tid, 0, latency=20 * MS)
+            harness.advance(10 * MS)
+        assert all(harness.server(name).steps for name in dead)
 
 
 @pytest.mark.parametrize("how", [301, 305])
 def test_with_many_calls_only_consecutive_failures_eject_a_server(how):
-    paper = Paper(servers=1)
-    server = paper.server("s0")
-    paper.balancer.book.heard = 1e6
-    paper.answer(paper.accept(cls=1), 0, how=how)
-    assert server.k == 1
-    paper.answer(paper.accept(cls=1), 0, how=how)
-    assert server.k == 0
+    harness = BalancerHarness(servers=1)
+    server = harness.server("s0")
+    harness.balancer.state.recent_requests = 1e6
+    harness.answer(harness.accept(cls=1), 0, status=how)
+    assert server.steps == 1
+    harness.answer(harness.accept(cls=1), 0, status=how)
+    assert server.steps == 0
 
 
 @pytest.mark.parametrize("failures, cold", [(1, False), (3, True)])
 def test_with_many_calls_a_single_failed_connection_does_not_count_as_a_restart(failures, cold):
     """Servers whose connections failed now and then were treated as cold, and got hardly any requests."""
-    paper = Paper(servers=1)
-    server = paper.server("s0")
-    paper.balancer.book.heard = 1e6
+    harness = BalancerHarness(servers=1)
+    server = harness.server("s0")
+    harness.balancer.state.recent_requests = 1e6
     for how in [304] * failures + [100]:
-        server.k, paper.balancer.book.live = 1, 1
-        paper.balancer.book.refresh(server)
-        paper.balancer.book.cut.clear()  # else its zone gets only probes
-        paper.balancer.book.tokens = 0.0  # no further attempt
-        paper.answer(paper.accept(cls=1), 0, how=how, lag=20 * MS)
-    assert (server.started == paper.now) is cold
+        server.steps, harness.balancer.state.live_count = 1, 1
+        harness.balancer.state.update_available(server)
+        harness.balancer.state.zone_failures.clear()  # else its zone gets only probes
+        harness.balancer.state.retry_tokens = 0.0  # no further attempt
+        harness.answer(harness.accept(cls=1), 0, status=how, latency=20 * MS)
+    assert (server.started == harness.now) is cold
 
 
 @pytest.mark.parametrize("lost, taught", [(1, False), (3, True)])
 def test_with_many_calls_a_single_timeout_does_not_indicate_a_queue(lost, taught):
-    paper = Paper(servers=1)
-    paper.balancer.book.heard = 1e6
+    harness = BalancerHarness(servers=1)
+    harness.balancer.state.recent_requests = 1e6
     for _ in range(lost):
-        tid = paper.accept(cls=1)
-        if paper.history[tid]:
-            paper.answer(tid, 0, how=303, lag=300 * MS)
-    assert (paper.server("s0").wait > 0) is taught
+        tid = harness.accept(cls=1)
+        if harness.history[tid]:
+            harness.answer(tid, 0, status=303, latency=300 * MS)
+    assert (harness.server("s0").wait > 0) is taught
 
 
 def test_with_many_calls_a_server_expected_to_answer_in_time_is_preferred_over_a_less_loaded_late_one():
-    paper = Paper(servers=2)
-    slow, quick = paper.server("s1"), paper.server("s0")
+    harness = BalancerHarness(servers=2)
+    slow, quick = harness.server("s1"), harness.server("s0")
     for many in (False, True):
-        paper.balancer.book.many = many
-        assert preferred(paper.balancer.book, quick, 20.0 * MS, slow, 400.0 * MS, 300 * MS)
+        harness.balancer.state.high_traffic = many
+        assert is_better(harness.balancer.state, quick, 20.0 * MS, slow, 400.0 * MS, 300 * MS)
         quick.inflight = 2
-        assert preferred(paper.balancer.book, quick, 20.0 * MS, slow, 400.0 * MS, 300 * MS) is many
+        assert is_better(harness.balancer.state, quick, 20.0 * MS, slow, 400.0 * MS, 300 * MS) is many
         quick.inflight = 0
 
 
 def test_with_few_calls_the_first_failure_ejects_a_server():
-    paper = Paper(servers=1)
-    paper.answer(paper.accept(cls=1), 0, how=305)
-    assert paper.server("s0").k == 0
+    harness = BalancerHarness(servers=1)
+    harness.answer(harness.accept(cls=1), 0, status=305)
+    assert harness.server("s0").steps == 0
 
 
 def test_failures_common_to_all_servers_do_not_shrink_budgets():
-    paper = Paper(servers=3)
-    paper.balancer.book.heard = 1e6
-    for server in paper.balancer.book.servers.values():
-        server.k = 6
+    harness = BalancerHarness(servers=3)
+    harness.balancer.state.recent_requests = 1e6
+    for server in harness.balancer.state.servers.values():
+        server.steps = 6
     for turn in range(400):
-        tid = paper.accept(cls=1)
-        paper.answer(tid, 0, how=305 if turn % 9 in (3, 5) else 100, lag=20 * MS)
-    assert min(s.k for s in paper.balancer.book.servers.values()) >= 3
+        tid = harness.accept(cls=1)
+        harness.answer(tid, 0, status=305 if turn % 9 in (3, 5) else 100, latency=20 * MS)
+    assert min(s.steps for s in harness.balancer.state.servers.values()) >= 3
 
 
 def test_initial_budget_is_the_sidecars_share_of_a_servers_capacity():
     for replicas, budget in ((1, 4), (2, 2), (100, 1)):
-        server = Paper(settings(replicasOfMe=replicas), servers=1).server("s0")
+        server = BalancerHarness(settings(replicasOfMe=replicas), servers=1).server("s0")
         assert server.budget == budget
 
 
-@pytest.mark.parametrize("extra", [b"noise", answer(b"stale")])
+@pytest.mark.parametrize("extra", [b"noise", response(b"stale")])
 def test_bytes_after_an_answer_are_not_read_as_the_next_answer(extra):
     async def send_extra(server, got, reader, writer):
-        await fine(server, got, reader, writer)
+        await respond_ok(server, got, reader, writer)
         writer.write(extra)
 
     async def main():
-        new = traces()
-        async with place(send_extra) as here:
+        new = trace_ids()
+        async with sidecar_harness(send_extra) as here:
             for _ in range(10):
                 trace = new()
-                assert (await here.ask(request(trace))).endswith(b"for " + trace.encode())
+                assert (await here.exchange(request(trace))).endswith(b"for " + trace.encode())
             assert here.servers["s0"].connections == 10, "a connection with surplus bytes was reused"
 
     asyncio.run(main())
@@ -176,13 +176,13 @@
     monkeypatch.setattr(upstream, "SETTLE_S", 0.3)
 
     async def late(server, got, reader, writer):
-        await fine(server, got, reader, writer)
+        await respond_ok(server, got, reader, writer)
         await writer.drain()
         await asyncio.sleep(0.02)
-        writer.write(answer(b"stale"))
+        writer.write(response(b"stale"))
 
     async def main():
-        async with place(late) as here:
+        async with sidecar_harness(late) as here:
             reader, writer = await here.connect()
             for trace in ("a", "b", "c"):
                 writer.write(request(trace))
@@ -193,7 +193,7 @@
 
 async def break_next(server, got, reader, writer):
     """Answers, and resets the connection at the first byte of the next request."""
-    await fine(server, got, reader, writer)
+    await respond_ok(server, got, reader, writer)
     await writer.drain()
     await reader.read(1)
     writer.transport.abort()
@@ -203,11 +203,11 @@
     monkeypatch.setattr(upstream, "DISTRUST_LAST_BYTE_DELAY_S", 5.0)  # ended early by the reset
 
     async def main():
-        async with place(break_next) as here:
+        async with sidecar_harness(break_next) as here:
             assert await here.status(request("a")) == 200
             here.upstream._distrust_until = asyncio.get_running_loop().time() + 60.0
             for trace in ("b", "c"):
-                assert (await here.ask(request(trace, cls="pay"))).endswith(b"for " + trace.encode())
+                assert (await here.exchange(request(trace, cls="pay"))).endswith(b"for " + trace.encode())
             assert here.servers["s0"].connections == 3, "the attempt did not continue on a new connection"
 
     asyncio.run(main())
@@ -217,7 +217,7 @@
     """Without TCP_NODELAY a last byte that was held back also waited for the peer's delayed acknowledgement."""
 
     async def main():
-        async with place(fine) as here:
+        async with sidecar_harness(respond_ok) as here:
             reader, writer = await here.connect()
             writer.write(request("a"))
             await read_message(reader)
@@ -232,7 +232,7 @@
 
 def test_broken_idle_connection_enables_the_last_byte_delay(monkeypatch):
     async def main():
-        async with place(break_next) as here:
+        async with sidecar_harness(break_next) as here:
             assert await here.status(request("a")) == 200
             assert here.upstream.last_byte_delay_s(0.0) == 0.0
             assert await here.status(request("b", cls="pay")) in (200, 502)
@@ -244,24 +244,24 @@
 def test_interim_1xx_answers_are_skipped():
     async def early(server, got, reader, writer):
         writer.write(b"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" * 3)
-        await fine(server, got, reader, writer)
+        await respond_ok(server, got, reader, writer)
 
     async def main():
-        async with place(early) as here:
-            assert (await here.ask(request("t"))).endswith(b"for t")
+        async with sidecar_harness(early) as here:
+            assert (await here.exchange(request("t"))).endswith(b"for t")
 
     asyncio.run(main())
 
 
 def test_rejecting_a_bad_request_does_not_count_against_the_server():
     async def turn_away(server, got, reader, writer):
-        writer.write(answer(b"", b"400 Bad Request"))
+        writer.write(response(b"", b"400 Bad Request"))
 
     async def main():
-        async with place(turn_away, turn_away) as here:
+        async with sidecar_harness(turn_away, turn_away) as here:
             assert await here.status(request(cls="look")) == 502
-            assert sum(len(s.got) for s in here.servers.values()) == 1
-            assert all(s.k == 1 and not s.inflight for s in here.balancer.book.servers.values())
+            assert sum(len(s.requests) for s in here.servers.values()) == 1
+            assert all(s.steps == 1 and not s.inflight for s in here.balancer.state.servers.values())
 
     asyncio.run(main())
 
@@ -272,14 +272,14 @@
 
         async def wait(server, got, reader, writer):
             await release.wait()
-            await fine(server, got, reader, writer)
+            await respond_ok(server, got, reader, writer)
 
-        async with place(wait, wait, sockets=1) as here:
+        async with sidecar_harness(wait, wait, sockets=1) as here:
             reader, writer = await here.connect()
             writer.write(request("one"))
-            await until(lambda: any(s.got for s in here.servers.values()))
+            await wait_until(lambda: any(s.requests for s in here.servers.values()))
             assert await here.status(request("two")) == 503
-            assert all(s.k == 1 for s in here.balancer.book.servers.values())
+            assert all(s.steps == 1 for s in here.balancer.state.servers.values())
             release.set()
             assert (await read_message(reader)).endswith(b"for one")
 
@@ -290,7 +290,7 @@
     """While there were no descriptors, each attempt leaked a reserved connection until none was left."""
 
     async def main():
-        async with place(fine, sockets=2) as here:
+        async with sidecar_harness(respond_ok, sockets=2) as here:
             reader, writer = await here.connect()
 
             def fail(*_):
@@ -318,40 +318,40 @@
     ],
 )
 def test_extreme_load_reports_do_not_distort_the_means(load):
-    paper = Paper(servers=2)
-    paper.answer(paper.accept(), 0, lag=20_000_000, **load)
+    harness = BalancerHarness(servers=2)
+    harness.answer(harness.accept(), 0, latency=20_000_000, **load)
     for _ in range(5):
-        paper.answer(paper.accept(), 0, lag=20_000_000)
-    assert max(paper.balancer.book.waits) < 1e9
-    assert all(s.wait < 1e9 for s in paper.balancer.book.servers.values())
+        harness.answer(harness.accept(), 0, latency=20_000_000)
+    assert max(harness.balancer.state.mean_waits) < 1e9
+    assert all(s.wait < 1e9 for s in harness.balancer.state.servers.values())
 
 
 def test_removed_servers_leave_no_state_behind():
     async def main():
-        new = traces()
-        async with place(fine) as here:
+        new = trace_ids()
+        async with sidecar_harness(respond_ok) as here:
             server = here.servers["s0"]
             for turn in range(30):
-                here.tell({f"n{turn}": server})  # a new id at the address of a removed one
+                here.update_servers({f"n{turn}": server})  # a new id at the address of a removed one
                 assert await here.status(request(new())) == 200
-            assert set(here.balancer.book.servers) == {"n29"}
+            assert set(here.balancer.state.servers) == {"n29"}
             assert set(here.upstream._servers) == {"n29"}
             assert here.upstream._open_count == 1
-            assert not here.balancer.book.attempts
-            assert not here.balancer.book.calls
+            assert not here.balancer.state.attempts
+            assert not here.balancer.state.calls
             assert not here.sidecar._calls
 
     asyncio.run(main())
 
 
 def test_removed_server_is_kept_until_its_last_outcome():
-    paper = Paper(servers=2)
-    tid = paper.accept()
-    name = paper.sends(tid)[0]
-    paper.feed(Directory("INCREMENTAL", (Entry(name, lifecycle="removed"),)))
-    assert name in paper.balancer.book.servers
-    paper.feed(Response(tid, How.CANCELLED, 1, name, 0, True, {}))
-    assert name not in paper.balancer.book.servers
+    harness = BalancerHarness(servers=2)
+    tid = harness.accept()
+    name = harness.sends(tid)[0]
+    harness.feed(ServerListUpdate("INCREMENTAL", (ServerEntry(name, lifecycle="removed"),)))
+    assert name in harness.balancer.state.servers
+    harness.feed(AttemptEnded(tid, AttemptStatus.CANCELLED, 1, name, 0, True, {}))
+    assert name not in harness.balancer.state.servers
 
 
 def test_connection_with_an_unfinished_request_is_not_reused(monkeypatch):
@@ -360,27 +360,27 @@
     monkeypatch.setattr(upstream, "DISTRUST_LAST_BYTE_DELAY_S", 5.0)  # ended early by the reset
 
     async def turn_away_early(server, got, reader, writer):
-        await fine(server, got, reader, writer)
+        await respond_ok(server, got, reader, writer)
         await writer.drain()
         await reader.read(1)
-        writer.write(answer(b"", b"503 Full", b"X-Never-Ran: 1"))
+        writer.write(response(b"", b"503 Full", b"X-Never-Ran: 1"))
 
     async def main():
-        async with place(turn_away_early) as here:
+        async with sidecar_harness(turn_away_early) as here:
             assert await here.status(request("a")) == 200
             here.upstream._distrust_until = asyncio.get_running_loop().time() + 60.0
-            assert (await here.ask(request("b", cls="pay"))).endswith(b"for b")
+            assert (await here.exchange(request("b", cls="pay"))).endswith(b"for b")
             server = here.servers["s0"]
-            assert (server.connections, len(server.got)) == (2, 2)
+            assert (server.connections, len(server.requests)) == (2, 2)
             assert here.upstream._open_count == 1, "the first connection was not closed"
 
     asyncio.run(main())
 
 
 def test_answers_are_parsed_the_same_in_one_piece_and_in_many():
-    whole = b"HTTP/1.1 103 Early\r\n\r\n" + answer(b"abcdef", b"200 OK", b"X-A:", b"X-B:  b ")
+    whole = b"HTTP/1.1 103 Early\r\n\r\n" + response(b"abcdef", b"200 OK", b"X-A:", b"X-B:  b ")
     for size in (1, 7, len(whole)):
-        reader = Reader(httptools.HttpResponseParser)
+        reader = MessageParser(httptools.HttpResponseParser)
         for at in range(0, len(whole), size):
             reader.feed(whole[at : at + size])
         interim, head, *parts, end = reader.parts
@@ -397,15 +397,19 @@
     ejected, the cause is assumed to be shared."""
 
     async def main():
-        new = traces()
-        async with place(fine, fine, fine, fine, limits={"maxAttempts": 4, "retryAfter": True}) as here:
-            book = here.balancer.book
+        new = trace_ids()
+        async with sidecar_harness(
+            respond_ok, respond_ok, respond_ok, respond_ok, limits={"maxAttempts": 4, "retryAfter": True}
+        ) as here:
+            state = here.balancer.state
             dead, healthy = (here.servers["s0"], here.servers["s1"]), (here.servers["s2"], here.servers["s3"])
             for server in dead:
                 server.stop()
-            while book.live > 2:
+            while state.live_count > 2:
                 assert await here.status(request(new())) == 200
-            assert {s.name for s in book.up if not s.k} == {"s0", "s1"}, "each failure has to eject its server"
+            assert {s.name for s in state.up if not s.steps} == {"s0", "s1"}, (
+                "each failure has to eject its server"
+            )
             for server in healthy:
                 server.stop()
                 here.upstream._close_idle(here.upstream._servers["s2" if server is healthy[0] else "s3"])
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -19,7 +19,7 @@
 from covetally.rig.load import Load, Plan
 from covetally.rig.site import LOAD_CLASSES, TENANTS
 from covetally.rig.world import Shape, World
-from tests.loopback import WAIT_S, until
+from tests.loopback import TEST_TIMEOUT_S, wait_until
 
 MARGIN_S = 1.0  # for a loaded machine, on top of each row's deadline
 RATE, MUST_ASK_S = 60, 10.0
@@ -80,7 +80,7 @@
 @pytest.mark.parametrize("row", ROWS, ids=lambda row: f"{'pushed' if row.pushed else 'polled'}-{row.name}")
 def test_draining_node_gets_no_new_requests_after_the_deadline(row):
     async def main():
-        async with asyncio.timeout(2 * WAIT_S), World(Shape(nodes=4, instances=1)) as world:
+        async with asyncio.timeout(2 * TEST_TIMEOUT_S), World(Shape(nodes=4, instances=1)) as world:
             instance = world.instances["a0"]
             if not row.pushed:
                 instance.config["settings"]["discovery"] = "subscribe"
@@ -90,7 +90,7 @@
             plan = Plan(LOAD_CLASSES, TENANTS, ("a0",), rate=RATE, seconds=duration_s + 2.5, seed=5)
             load = Load(world.account, {"a0": instance.address}, plan, world.alive)
             played = asyncio.create_task(load.play(plan.draw()))
-            await until(lambda: all(node.seen["arrived"] for node in world.nodes.values()))
+            await wait_until(lambda: all(node.seen["arrived"] for node in world.nodes.values()))
             fault_end_ns = await apply_fault(world, row)
             await played
             deadline_ns = fault_end_ns + int(
@@ -199,12 +199,12 @@
     """Clients send with and without pauses, so that some requests cross a close; one client is slow to send."""
 
     async def main():
-        async with asyncio.timeout(WAIT_S), World(Shape(nodes=3, instances=1)) as world:
+        async with asyncio.timeout(TEST_TIMEOUT_S), World(Shape(nodes=3, instances=1)) as world:
             await world.start_instances()
             address = world.instances["a0"].address
             clients = [Client(i, address, pause_s=(0.0, 0.003, 0.05, 0.4)[i % 4]) for i in range(24)]
             sending = [asyncio.create_task(client.send_requests()) for client in clients]
-            await until(lambda: all(len(client.statuses) > 1 for client in clients))
+            await wait_until(lambda: all(len(client.statuses) > 1 for client in clients))
             reader, writer = await asyncio.open_connection(*address)
             slow_request = get_request("slow")
             writer.write(slow_request[:-9])
--- a/tests/test_timer_wheel.py
+++ b/tests/test_timer_wheel.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from covetally.net.timer_wheel import SLOT_WIDTH_S, TimerWheel
-from tests.loopback import fine, place, read_message, request
+from tests.loopback import respond_ok, sidecar_harness, read_message, request
 
 MAX_CALLS = 128  # of functions of this program per request on reused connections; 122.1 when it was chosen
 
@@ -78,7 +78,7 @@
 
 def test_request_costs_no_more_function_calls_than_allowed():
     async def main():
-        async with place(fine, fine, fine, fine) as here:
+        async with sidecar_harness(respond_ok, respond_ok, respond_ok, respond_ok) as here:
             reader, writer = await here.connect()
 
             async def ask(first: int, count: int) -> None:
