--- a/covetally/caps/home.py
+++ b/covetally/caps/home.py
@@ -22,7 +22,7 @@
 
 from covetally.caps.rule import Mode, Rule
 from covetally.interface import SECOND
-from covetally.words import is_newer
+from covetally.gossip import is_newer
 
 ASKS_PER_S = 40.0
 FIRST_PAUSE_NS = SECOND // 4
--- a/covetally/caps/member.py
+++ b/covetally/caps/member.py
@@ -11,8 +11,8 @@
 from covetally.caps.messages import Kind, Say, decode, encode
 from covetally.caps.rule import Mode, Rule
 from covetally.interface import SECOND, Allotted
-from covetally.words import Newest, Part, Word, first_number
-from covetally.words.shell import ALL, Send
+from covetally.gossip import Newest, Part, Word, first_number
+from covetally.gossip.shell import ALL, Send
 
 LOOK_NS = SECOND // 20
 IDLE_LOOK_NS = SECOND // 4  # where nothing is held, lent or wanted
--- a/covetally/caps/messages.py
+++ b/covetally/caps/messages.py
@@ -18,7 +18,7 @@
 from struct import Struct, error
 from typing import NamedTuple
 
-from covetally.words import BadWord
+from covetally.gossip import BadWord
 
 BODY = Struct(">BIIIHHHH")
 MOST = 65535
--- a/covetally/words/newest.py
+++ b/covetally/gossip/newest.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 from typing import Generic, TypeVar
 
-from covetally.words.frame import Word
+from covetally.gossip.frame import Word
 
 T = TypeVar("T")
 OLD_NS = 15_000_000_000  # longer than any datagram is on its way
--- a/covetally/words/shell.py
+++ b/covetally/gossip/shell.py
@@ -8,7 +8,7 @@
 from typing import Any, NamedTuple, Protocol
 
 from covetally.interface import Event
-from covetally.words.frame import BadWord, Part, Word, decode, encode
+from covetally.gossip.frame import BadWord, Part, Word, decode, encode
 
 ALL = -1
 
--- a/covetally/lab/caps.py
+++ b/covetally/lab/caps.py
@@ -17,8 +17,8 @@
 from covetally.caps.member import NODE, RESTS_NS, Use, bound
 from covetally.interface import SECOND
 from covetally.rig.schedule import WELL, Link, Schedule, Step
-from covetally.words import Part, Word, decode, encode
-from covetally.words.shell import ALL, Send
+from covetally.gossip import Part, Word, decode, encode
+from covetally.gossip.shell import ALL, Send
 
 MS = SECOND // 1000
 REST_NS = SECOND
--- a/covetally/lab/line.py
+++ b/covetally/lab/line.py
@@ -15,7 +15,7 @@
 from covetally.overload import Member, Policy
 from covetally.overload.words import LineWord, decode, encode
 from covetally.rig.schedule import WELL, Link, Schedule, Step
-from covetally.words import Word
+from covetally.gossip import Word
 
 Liar = Callable[[int, Word], Word | None]
 
--- a/covetally/overload/words.py
+++ b/covetally/overload/words.py
@@ -1,4 +1,4 @@
-"""A member's word on the line, as the body of a frame (covetally/words). Big-endian.
+"""A member's word on the line, as the body of a frame (covetally/gossip). Big-endian.
 
 bytes  what
 1      rung that it stands on
@@ -21,7 +21,7 @@
 
 from covetally.overload.ladder import LAST
 from covetally.overload.pressure import Seen
-from covetally.words import BadWord
+from covetally.gossip import BadWord
 
 HEAD = Struct(">BBHHHHHHBB")
 TENANT = Struct(">BH")
--- a/covetally/process.py
+++ b/covetally/process.py
@@ -45,7 +45,7 @@
     from covetally.tier.shell import Shell
 
 TIER_MARK, TIER_LEAST = 0x54, 18  # see covetally/tier/wire.py
-WORD_MARK, WORD_LEAST = 0x57, 13  # see covetally/words/frame.py
+WORD_MARK, WORD_LEAST = 0x57, 13  # see covetally/gossip/frame.py
 LISTEN_TRIES = dict.fromkeys(LACKS, 50) | {errno.EADDRINUSE: 10}  # by what failed; other errors are final
 LISTEN_PAUSE_S = 0.1
 log = logging.getLogger("covetally")
--- a/covetally/spoken.py
+++ b/covetally/spoken.py
@@ -21,8 +21,8 @@
 from covetally.overload.member import Member
 from covetally.overload.pins import parse
 from covetally.overload.settings import Plan as LinePlan
-from covetally.words import Part
-from covetally.words.shell import Parts, Shell, Speaker
+from covetally.gossip import Part
+from covetally.gossip.shell import Parts, Shell, Speaker
 
 log = logging.getLogger("covetally")
 
--- a/tests/caps/test_units.py
+++ b/tests/caps/test_units.py
@@ -19,7 +19,7 @@
 from covetally.interface import SECOND
 from covetally.lab.caps import Play
 from covetally.rig.schedule import Link, Schedule, Step, draw
-from covetally.words import BadWord
+from covetally.gossip import BadWord
 
 SEED = int(os.environ.get("CAPS_SEED", "0"))
 
--- a/tests/words/test_words.py
+++ b/tests/gossip/test_gossip.py
@@ -6,8 +6,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from covetally.words import BadWord, Newest, Part, Word, decode, encode, first_number
-from covetally.words.newest import OLD_NS
+from covetally.gossip import BadWord, Newest, Part, Word, decode, encode, first_number
+from covetally.gossip.newest import OLD_NS
 
 SECOND = 1_000_000_000
 words = st.builds(
--- a/tests/overload/test_line.py
+++ b/tests/overload/test_line.py
@@ -14,7 +14,7 @@
 from covetally.overload.shares import Shares
 from covetally.overload.words import LineWord, decode, encode
 from covetally.rig.site import settings
-from covetally.words import BadWord
+from covetally.gossip import BadWord
 
 CONFIG = Settings.parse(settings(0, 10, 0.25, 8000))
 LOOK = SECOND // 4
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -93,7 +93,7 @@
         "rig/",
         "cli/",
         "overload/",
-        "words/",
+        "gossip/",
         "caps/",
         "spoken",
     )
