--- a/covetally/caps/member.py
+++ b/covetally/caps/member.py
@@ -12,7 +12,7 @@
 from covetally.caps.rule import Mode, Rule
 from covetally.interface import SECOND, Allotted
 from covetally.gossip import Newest, Part, Word, first_number
-from covetally.gossip.shell import ALL, Send
+from covetally.gossip.transport import ALL, Send
 
 LOOK_NS = SECOND // 20
 IDLE_LOOK_NS = SECOND // 4  # where nothing is held, lent or wanted
--- a/covetally/lab/caps.py
+++ b/covetally/lab/caps.py
@@ -18,7 +18,7 @@
 from covetally.interface import SECOND
 from covetally.rig.schedule import WELL, Link, Schedule, Step
 from covetally.gossip import Part, Word, decode, encode
-from covetally.gossip.shell import ALL, Send
+from covetally.gossip.transport import ALL, Send
 
 MS = SECOND // 1000
 REST_NS = SECOND
--- a/covetally/overload/member.py
+++ b/covetally/overload/member.py
@@ -17,7 +17,7 @@
 from covetally.overload.spending import RETRIES, gap_ns, saved
 from covetally.overload.words import Echo, LineWord, decode, encode
 from covetally.gossip import Newest, Part, Word, first_number
-from covetally.gossip.shell import ALL, Send
+from covetally.gossip.transport import ALL, Send
 
 COUNTS_NS = 3 * SECOND // 2  # a word counts for so long
 SPEAKERS = 16  # members that speak in one look, of all
--- a/covetally/spoken.py
+++ b/covetally/spoken.py
@@ -22,7 +22,7 @@
 from covetally.overload.pins import parse
 from covetally.overload.settings import Plan as LinePlan
 from covetally.gossip import Part
-from covetally.gossip.shell import Parts, Shell, Speaker
+from covetally.gossip.transport import Parts, Shell, Speaker
 
 log = logging.getLogger("covetally")
 
--- a/tests/gossip/test_gossip.py
+++ b/tests/gossip/test_gossip.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from covetally.gossip import BadWord, Newest, Part, Word, decode, encode, first_number
-from covetally.gossip.newest import OLD_NS
+from covetally.gossip.latest import OLD_NS
 
 SECOND = 1_000_000_000
 words = st.builds(
