--- a/covetally/caps/home.py
+++ b/covetally/caps/home.py
@@ -22,7 +22,7 @@
 
 from covetally.caps.rule import Mode, Rule
 from covetally.interface import SECOND
-from covetally.gossip import is_newer
+from covetally.gossip import is_newer_incarnation
 
 ASKS_PER_S = 40.0
 FIRST_PAUSE_NS = SECOND // 4
@@ -143,7 +143,7 @@
         """The holder of this life; None if another one is newer."""
         holder = self._holders.get(sender)
         if holder is None or holder.life != life:
-            if holder is not None and not is_newer(number, holder.number, now - holder.asked):
+            if holder is not None and not is_newer_incarnation(number, holder.number, now - holder.asked):
                 self.twins += 1
                 return None
             holder = self._holders[sender] = _Holder(life)
--- a/covetally/caps/member.py
+++ b/covetally/caps/member.py
@@ -11,8 +11,8 @@
 from covetally.caps.messages import Kind, Say, decode, encode
 from covetally.caps.rule import Mode, Rule
 from covetally.interface import SECOND, Allotted
-from covetally.gossip import Newest, Part, Word, first_number
-from covetally.gossip.transport import ALL, Send
+from covetally.gossip import LatestMessages, Topic, Message, first_sequence
+from covetally.gossip.transport import BROADCAST, Outgoing
 
 LOOK_NS = SECOND // 20
 IDLE_LOOK_NS = SECOND // 4  # where nothing is held, lent or wanted
@@ -60,8 +60,8 @@
         self.me, self.life = me, life
         self._look = look
         self._parts: dict[int, _Part] = {}
-        self._heard: Newest[None] = Newest(me, 0)
-        self._number = first_number(now)
+        self._heard: LatestMessages[None] = LatestMessages(me, 0)
+        self._number = first_sequence(now)
         self._queried_at = now - QUERY_NS
         self._left = False
         self.due = now
@@ -76,7 +76,7 @@
             part = self._parts.get(mark)
             if part is None:
                 # Numbers begin at the clock, so that no answer to a life before fits an ask of this one.
-                first = first_number(now)
+                first = first_sequence(now)
                 holder, home = Holder(cap.rule, self.me, now, first), Home(cap.rule, self.me, now)
                 self._parts[mark] = _Part(cap, holder, home)
             elif part.cap != cap:
@@ -92,11 +92,11 @@
 
     # --- words ----------------------------------------------------------------------------------
 
-    def tick(self, now: int) -> list[Send]:
+    def tick(self, now: int) -> list[Outgoing]:
         """Time has passed."""
         if now < self.due or self._left:
             return []
-        out: list[Send] = []
+        out: list[Outgoing] = []
         busy = False
         for part in self._parts.values():
             part.use = use = self._look(now, part.cap)
@@ -110,22 +110,22 @@
                 if not part.home.units:
                     continue
                 unheard = part.home.unheard(now)
-                for member in (ALL,) if len(unheard) > FEW else unheard:
+                for member in (BROADCAST,) if len(unheard) > FEW else unheard:
                     out.append(self._say(member, Say(Kind.QUERY, mark, 0, self.life)))
         self.due = now + (LOOK_NS if busy else IDLE_LOOK_NS)
         return out
 
-    def heard(self, now: int, word: Word) -> list[Send]:
-        """A word of another member; BadWord if its body is none."""
+    def receive(self, now: int, word: Message) -> list[Outgoing]:
+        """A word of another member; MalformedMessageError if its body is none."""
         say = decode(word.body)
         part = self._parts.get(say.mark)
         if part is None or self._left or word.sender >= part.cap.rule.members:
             return []
-        out: list[Send] = []
+        out: list[Outgoing] = []
         if say.kind is Kind.ASK:
             ask = Asked(say.number, say.first, say.second, say.third, say.fourth * MS100)
-            out = self._answer(now, part, part.home.ask(now, word.sender, word.life, ask))
-        elif not self._heard.heard(now, word, None) and say.kind is not Kind.GRANT:
+            out = self._answer(now, part, part.home.ask(now, word.sender, word.incarnation, ask))
+        elif not self._heard.record(now, word, None) and say.kind is not Kind.GRANT:
             return []
         elif say.kind is Kind.GRANT:
             pause = say.second * MS10
@@ -139,15 +139,15 @@
             self.due = min(self.due, now + LOOK_NS // 4)
         return out
 
-    def leave(self, now: int) -> list[Send]:
+    def leave(self, now: int) -> list[Outgoing]:
         """This sidecar ends: what it holds goes back, whatever its own homes lent stays lent."""
-        out: list[Send] = []
+        out: list[Outgoing] = []
         for part in self._parts.values():
             out += self._ask(now, part, part.holder.give_all(now))
         self._left = True
         return out
 
-    def told(self, now: int) -> list[Allotted]:
+    def events(self, now: int) -> list[Allotted]:
         """What the balancer is told of connections to nodes: units in place of a part."""
         out = []
         for part in self._parts.values():
@@ -162,8 +162,8 @@
 
     # --- parts ----------------------------------------------------------------------------------
 
-    def _ask(self, now: int, part: _Part, asks: list[Ask]) -> list[Send]:
-        out: list[Send] = []
+    def _ask(self, now: int, part: _Part, asks: list[Ask]) -> list[Outgoing]:
+        out: list[Outgoing] = []
         use = part.use
         for ask in asks:
             if ask.to == self.me:
@@ -179,8 +179,8 @@
         use = part.use
         return part.holder.recalled(now, home, count, use.in_use, use.in_use if busy else use.resting)
 
-    def _answer(self, now: int, part: _Part, answers: list[Grant | Recall]) -> list[Send]:
-        out: list[Send] = []
+    def _answer(self, now: int, part: _Part, answers: list[Grant | Recall]) -> list[Outgoing]:
+        out: list[Outgoing] = []
         mark = part.cap.rule.mark
         for answer in answers:
             if isinstance(answer, Grant):
@@ -195,9 +195,9 @@
                 out.append(self._say(answer.to, Say(Kind.RECALL, mark, 0, self.life, answer.count, answer.busy)))
         return out
 
-    def _say(self, to: int, say: Say) -> Send:
+    def _say(self, to: int, say: Say) -> Outgoing:
         self._number += 1
-        return Send(to, Word(Part.CAPS, self.me, self.life, self._number, encode(say)))
+        return Outgoing(to, Message(Topic.CAPS, self.me, self.life, self._number, encode(say)))
 
     def table(self, now: int) -> dict[str, Any]:
         """For operators."""
--- a/covetally/caps/messages.py
+++ b/covetally/caps/messages.py
@@ -18,7 +18,7 @@
 from struct import Struct, error
 from typing import NamedTuple
 
-from covetally.gossip import BadWord
+from covetally.gossip import MalformedMessageError
 
 BODY = Struct(">BIIIHHHH")
 MOST = 65535
@@ -52,9 +52,9 @@
 
 
 def decode(body: bytes) -> Say:
-    """The message in a body; BadWord if there is none."""
+    """The message in a body; MalformedMessageError if there is none."""
     try:
         kind, *rest = BODY.unpack_from(body)
         return Say(Kind(kind), *rest)
     except (error, ValueError) as damage:
-        raise BadWord(str(damage)) from None
+        raise MalformedMessageError(str(damage)) from None
--- a/covetally/gossip/__init__.py
+++ b/covetally/gossip/__init__.py
@@ -1,6 +1,20 @@
-"""Short words that sidecars tell all others of themselves: one frame, and the newest of each sender. No I/O."""
+"""Gossip messages between sidecars: the frame, and the latest message of each sender. No I/O.
 
-from covetally.gossip.frame import MARK, BadWord, Part, Word, decode, encode
-from covetally.gossip.latest import Newest, Told, first_number, is_newer
+`transport` runs the participants on the event loop and is imported only where it is used.
+"""
 
-__all__ = ["MARK", "BadWord", "Newest", "Part", "Told", "Word", "decode", "encode", "first_number", "is_newer"]
+from covetally.gossip.frame import MAGIC, MalformedMessageError, Message, Topic, decode, encode
+from covetally.gossip.latest import LatestMessages, ReceivedMessage, first_sequence, is_newer_incarnation
+
+__all__ = [
+    "MAGIC",
+    "LatestMessages",
+    "MalformedMessageError",
+    "Message",
+    "ReceivedMessage",
+    "Topic",
+    "decode",
+    "encode",
+    "first_sequence",
+    "is_newer_incarnation",
+]
--- a/covetally/gossip/frame.py
+++ b/covetally/gossip/frame.py
@@ -1,11 +1,14 @@
-"""The frame of a word, byte by byte. Big-endian.
-
-offset  bytes  what
-0       1      0x57, so that it is told apart from the tier's messages (0x54) and the balancer's rumours (8
-bytes) 1       1      version of this table: 1. A newer one may add bytes at the end of a body 2       1
-part: 1 overload line, 2 connection caps 3       2      sender, by its number in the list of peers 5       4
-sender's life: random at each start 9       4      number of the word in that life 13      to 243 body, as
-its part has it
+"""Binary format of a gossip message: one message in one datagram. All integers are unsigned and big-endian.
+
+offset  bytes     content
+------  -----     -------
+0       1         magic number 0x57; tier messages begin with 0x54, the balancer's rumours have 8 bytes
+1       1         version of this format: 1; a higher version may append bytes to the body
+2       1         topic: 1 overload control, 2 connection caps
+3       2         sender: its index in the list of peers
+5       4         incarnation of the sender: random at each start of its process
+9       4         sequence number of the message within that incarnation, modulo 2**32
+13      0 to 243  body, in the format of its topic
 """
 
 from __future__ import annotations
@@ -16,51 +19,58 @@
 
 from covetally.errors import DamagedError
 
-MARK, VERSION = 0x57, 1
-MOST_BYTES = 256
-HEAD = Struct(">BBBHII")
-MOST_BODY = MOST_BYTES - HEAD.size
+MAGIC, VERSION = 0x57, 1
+MAX_FRAME_BYTES = 256
+HEADER = Struct(">BBBHII")
+MAX_BODY_BYTES = MAX_FRAME_BYTES - HEADER.size
 
 
-class BadWord(DamagedError):
-    """Bytes that are no word of this table."""
+class MalformedMessageError(DamagedError):
+    """Bytes that are no word of this table.
+
+    Raised by `decode` for a datagram that is not a gossip message, by `encode` for a body that is too long, and
+    by participants for a body that they cannot parse. The paragraph above and the remedy are printed in
+    docs/operators/errors.md (see covetally/errors/page.py).
+    """
 
     code = "word-damaged"
     remedy = "See that all sidecars of the tier run versions that speak with each other; it is dropped meanwhile."
 
 
-class Part(enum.IntEnum):
-    """What a word is about."""
+class Topic(enum.IntEnum):
+    """Identifies the participant that a message is for."""
 
-    LINE = 1
+    OVERLOAD = 1
     CAPS = 2
 
 
-class Word(NamedTuple):
-    """One word. The shell checks that `sender` is whose address it came from."""
+class Message(NamedTuple):
+    """One gossip message. The transport checks that `sender` matches the address it was received from."""
 
-    part: Part
+    topic: Topic
     sender: int
-    life: int
-    number: int
+    incarnation: int
+    sequence: int
     body: bytes
 
 
-def encode(word: Word) -> bytes:
-    """The datagram for a word; BadWord if its body is too long."""
-    if len(word.body) > MOST_BODY:
-        raise BadWord(f"a body of {len(word.body)} bytes, {MOST_BODY} at most")
-    return HEAD.pack(MARK, VERSION, word.part, word.sender, word.life, word.number % 2**32) + word.body
+def encode(message: Message) -> bytes:
+    """Return the datagram for a message; raises MalformedMessageError if its body is too long."""
+    if len(message.body) > MAX_BODY_BYTES:
+        raise MalformedMessageError(f"body has {len(message.body)} bytes, at most {MAX_BODY_BYTES} are allowed")
+    return HEADER.pack(
+        MAGIC, VERSION, message.topic, message.sender, message.incarnation, message.sequence % 2**32
+    ) + message.body  # fmt: skip
 
 
-def decode(data: bytes) -> Word:
-    """The word in a datagram; BadWord if it is none."""
-    if len(data) > MOST_BYTES:
-        raise BadWord(f"{len(data)} bytes, {MOST_BYTES} at most")
+def decode(data: bytes) -> Message:
+    """Parse a datagram; raises MalformedMessageError if it is not a gossip message."""
+    if len(data) > MAX_FRAME_BYTES:
+        raise MalformedMessageError(f"{len(data)} bytes in a datagram, at most {MAX_FRAME_BYTES} are allowed")
     try:
-        mark, version, part, sender, life, number = HEAD.unpack_from(data)
-        if mark != MARK or version < VERSION:
-            raise BadWord("not of this table")
-        return Word(Part(part), sender, life, number, data[HEAD.size :])
+        magic, version, topic, sender, incarnation, sequence = HEADER.unpack_from(data)
+        if magic != MAGIC or version < VERSION:
+            raise MalformedMessageError("wrong magic number or version")
+        return Message(Topic(topic), sender, incarnation, sequence, data[HEADER.size :])
     except (error, ValueError) as damage:
-        raise BadWord(str(damage)) from None
+        raise MalformedMessageError(str(damage)) from None
--- a/covetally/gossip/latest.py
+++ b/covetally/gossip/latest.py
@@ -1,9 +1,10 @@
-"""The newest word of each sender, for as long as it counts.
+"""Keeps the latest message of each sender for a limited time.
 
-Order, repeats and losses do not matter: of one life the higher number holds. Of two lives the one with the higher
-number holds, too: numbers begin at the sender's monotonic clock in ms (`first_number`), which only a reboot sets
-back; a life with a lower number is taken once nothing was heard of the other for OLD_NS. Random lives alone could
-not be put in order, and a late word of a life that had ended would have shut out the one that runs.
+Reordered, repeated and lost messages do no harm: within one incarnation of a sender the higher sequence number
+wins. Between two incarnations the higher number wins too, because numbers start at the sender's monotonic clock
+in ms (`first_sequence`), which only a reboot sets back. An incarnation with a lower number is accepted once
+nothing has been received from the other for INCARNATION_TIMEOUT_NS. Incarnations are random and have no order of
+their own: ordered by them alone, a delayed message of a process that has ended would shut out the running one.
 """
 
 from __future__ import annotations
@@ -12,59 +13,68 @@
 from dataclasses import dataclass
 from typing import Generic, TypeVar
 
-from covetally.gossip.frame import Word
+from covetally.gossip.frame import Message
 
 T = TypeVar("T")
-OLD_NS = 15_000_000_000  # longer than any datagram is on its way
+INCARNATION_TIMEOUT_NS = 15_000_000_000  # longer than any datagram is in transit
 
 
-def first_number(now: int) -> int:
-    """With which number a life's words begin, from its clock in ns. Fewer than 1,000 a second may follow."""
+def first_sequence(now: int) -> int:
+    """Return the sequence number that an incarnation starts with, from its clock in ns.
+
+    An incarnation must send fewer than 1,000 messages a second, or its numbers overtake the clock in ms that its
+    successor starts with.
+    """
     return now // 1_000_000 % 2**31
 
 
-def is_newer(number: int, known: int, silent_ns: int) -> bool:
-    """Whether another life that says this number is newer than one whose last number is known."""
-    return number > known or silent_ns >= OLD_NS
+def is_newer_incarnation(sequence: int, known_sequence: int, silent_ns: int) -> bool:
+    """Return whether an unknown incarnation that sends `sequence` follows the known one.
+
+    `known_sequence` is the last number of the known incarnation, `silent_ns` the time since it was received.
+    """
+    return sequence > known_sequence or silent_ns >= INCARNATION_TIMEOUT_NS
 
 
 @dataclass(slots=True)
-class Told(Generic[T]):
-    """What a sender said, and when by this clock."""
+class ReceivedMessage(Generic[T]):
+    """The decoded content of a sender's latest message, and when it was received on the local clock in ns."""
 
-    life: int
-    number: int
-    at: int
-    what: T
+    incarnation: int
+    sequence: int
+    received_at: int
+    content: T
 
 
-class Newest(Generic[T]):
-    """What all others have said of late. Times in ns on one monotonic clock."""
+class LatestMessages(Generic[T]):
+    """The latest message of every other sender. Times are in ns on one monotonic clock."""
 
-    def __init__(self, me: int, counts_ns: int) -> None:
-        self.me, self.counts_ns = me, counts_ns
-        self._told: dict[int, Told[T]] = {}
+    def __init__(self, me: int, lifetime_ns: int) -> None:
+        self.me, self.lifetime_ns = me, lifetime_ns
+        self._received: dict[int, ReceivedMessage[T]] = {}
 
-    def heard(self, now: int, word: Word, what: T) -> bool:
-        """Whether the word is news."""
-        if word.sender == self.me:
+    def record(self, now: int, message: Message, content: T) -> bool:
+        """Store a message and return True, or return False if it is an own, repeated or outdated one."""
+        if message.sender == self.me:
             return False
-        known = self._told.get(word.sender)
+        known = self._received.get(message.sender)
         if known is not None:
-            if word.life == known.life and word.number <= known.number:
+            if message.incarnation == known.incarnation and message.sequence <= known.sequence:
                 return False
-            if word.life != known.life and not is_newer(word.number, known.number, now - known.at):
+            if message.incarnation != known.incarnation and not is_newer_incarnation(
+                message.sequence, known.sequence, now - known.received_at
+            ):
                 return False
-        self._told[word.sender] = Told(word.life, word.number, now, what)
+        self._received[message.sender] = ReceivedMessage(message.incarnation, message.sequence, now, content)
         return True
 
-    def fresh(self, now: int) -> Iterator[tuple[int, T, int]]:
-        """Senders, what they said, and when it was heard, as far as it still counts."""
-        for sender, told in self._told.items():
-            if now - told.at < self.counts_ns:
-                yield sender, told.what, told.at
+    def unexpired(self, now: int) -> Iterator[tuple[int, T, int]]:
+        """Yield sender, content and time of receipt of each message that is younger than `lifetime_ns`."""
+        for sender, received in self._received.items():
+            if now - received.received_at < self.lifetime_ns:
+                yield sender, received.content, received.received_at
 
     def resize(self, size: int) -> None:
-        """There are so many senders from here on."""
-        for sender in [sender for sender in self._told if sender >= size]:
-            del self._told[sender]
+        """Forget the senders that are no longer in a list of `size` peers."""
+        for sender in [sender for sender in self._received if sender >= size]:
+            del self._received[sender]
--- a/covetally/gossip/transport.py
+++ b/covetally/gossip/transport.py
@@ -1,4 +1,7 @@
-"""Words on the event loop: one timer, what is sent, what the balancer is told. Decides nothing."""
+"""Runs gossip participants on the event loop: one timer, outgoing datagrams, and events for the balancer.
+
+All decisions are made by the participants.
+"""
 
 from __future__ import annotations
 
@@ -8,116 +11,116 @@
 from typing import Any, NamedTuple, Protocol
 
 from covetally.interface import Event
-from covetally.gossip.frame import BadWord, Part, Word, decode, encode
+from covetally.gossip.frame import MalformedMessageError, Message, Topic, decode, encode
 
-ALL = -1
+BROADCAST = -1
 
 
-class Send(NamedTuple):
-    """A word for a peer, or with -1 for all."""
+class Outgoing(NamedTuple):
+    """A message to send to one peer, or to all peers if `peer` is BROADCAST."""
 
     peer: int
-    word: Word
+    message: Message
 
 
-class Speaker(Protocol):
-    """What takes part in words: the overload line's member, the caps'. Times in ns on the sidecar's clock."""
+class Participant(Protocol):
+    """Sends and receives the messages of one topic. Times are in ns on the sidecar's clock."""
 
-    due: int
+    due: int  # when `tick` has to be called next
 
-    def tick(self, now: int) -> Iterable[Send]:
-        """Time has passed; next at `due`."""
+    def tick(self, now: int) -> Iterable[Outgoing]:
+        """Do what is due by now and set `due` anew; returns the messages to send."""
 
-    def heard(self, now: int, word: Word) -> Iterable[Send]:
-        """A word of this part; BadWord if its body is none."""
+    def receive(self, now: int, message: Message) -> Iterable[Outgoing]:
+        """Process a message of this topic; raises MalformedMessageError if its body is invalid."""
 
-    def told(self, now: int) -> Iterable[Event]:
-        """What the balancer is to be told now."""
+    def events(self, now: int) -> Iterable[Event]:
+        """Return the events that the balancer has to process now."""
 
-    def leave(self, now: int) -> Iterable[Send]:
-        """This sidecar ends."""
+    def leave(self, now: int) -> Iterable[Outgoing]:
+        """Return the messages to send when this sidecar stops."""
 
     def table(self, now: int) -> dict[str, Any]:
-        """For operators."""
+        """Return the current state for operators."""
 
 
 @dataclass(frozen=True, slots=True)
-class Parts:
-    """What it works with: the sidecar's clock, its datagrams, its balancer."""
+class TransportCallbacks:
+    """What the transport calls: the sidecar's clock, its datagram socket and its balancer."""
 
     now: Callable[[], int]
     send: Callable[[int, bytes], None]
-    advise: Callable[[Event], None]
+    apply_event: Callable[[Event], None]
 
 
-class Shell:
-    """Carries out what speakers decide."""
+class GossipTransport:
+    """Carries messages between the participants of this sidecar and its peers."""
 
-    def __init__(self, parts: Parts, speakers: Mapping[Part, Speaker]) -> None:
-        self._parts, self.speakers = parts, dict(speakers)
-        self.garbage = 0
+    def __init__(self, callbacks: TransportCallbacks, participants: Mapping[Topic, Participant]) -> None:
+        self._callbacks, self.participants = callbacks, dict(participants)
+        self.malformed = 0  # datagrams dropped: not a message, or sent under another peer's index
         self._timer: asyncio.TimerHandle | None = None
         self._timer_at = 0
 
     def start(self) -> None:
-        """From here on."""
+        """Run the first tick, which starts the timer."""
         self._tick()
 
     def stop(self, leave: bool = True) -> None:
-        """Say that this sidecar ends, if it does, and end."""
+        """Stop the timer; `leave` also sends what the participants say when the sidecar itself stops."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
-        now = self._parts.now()
-        for speaker in self.speakers.values() if leave else ():
-            self._carry(speaker.leave(now))
+        now = self._callbacks.now()
+        for participant in self.participants.values() if leave else ():
+            self._send(participant.leave(now))
 
-    def heard(self, sender: int, data: bytes) -> None:
-        """A datagram from a peer's address."""
-        now = self._parts.now()
+    def receive(self, sender: int, data: bytes) -> None:
+        """Process a datagram that came from the address of the peer with index `sender`."""
+        now = self._callbacks.now()
         try:
-            word = decode(data)
-            speaker = self.speakers.get(word.part)
-            if word.sender != sender:
-                raise BadWord(f"of {word.sender} from the address of {sender}")
-            if speaker is None:
+            message = decode(data)
+            participant = self.participants.get(message.topic)
+            if message.sender != sender:
+                raise MalformedMessageError(f"sender is {message.sender}, but the address is that of {sender}")
+            if participant is None:
                 return
-            self._carry(speaker.heard(now, word))
-        except BadWord:
-            self.garbage += 1
+            self._send(participant.receive(now, message))
+        except MalformedMessageError:
+            self.malformed += 1
             return
-        self._advise(now, speaker)
+        self._apply_events(now, participant)
         self._set_timer()
 
-    def again(self) -> None:
-        """Something has changed under a speaker: look at once."""
+    def tick_now(self) -> None:
+        """Run the ticks that are due at once, after a participant has been reconfigured."""
         self._tick()
 
     def _tick(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
-        now = self._parts.now()
-        for speaker in self.speakers.values():
-            if now >= speaker.due:
-                self._carry(speaker.tick(now))
-                self._advise(now, speaker)
+        now = self._callbacks.now()
+        for participant in self.participants.values():
+            if now >= participant.due:
+                self._send(participant.tick(now))
+                self._apply_events(now, participant)
         self._set_timer()
 
-    def _advise(self, now: int, speaker: Speaker) -> None:
-        for event in speaker.told(now):
-            self._parts.advise(event)
+    def _apply_events(self, now: int, participant: Participant) -> None:
+        for event in participant.events(now):
+            self._callbacks.apply_event(event)
 
-    def _carry(self, sends: Iterable[Send]) -> None:
-        for peer, word in sends:
-            self._parts.send(peer, encode(word))
+    def _send(self, outgoing: Iterable[Outgoing]) -> None:
+        for peer, message in outgoing:
+            self._callbacks.send(peer, encode(message))
 
     def _set_timer(self) -> None:
-        at = min(speaker.due for speaker in self.speakers.values())
+        at = min(participant.due for participant in self.participants.values())
         if self._timer is not None:
             if self._timer_at <= at:
                 return
             self._timer.cancel()
         self._timer_at = at
-        wait_s = max(0, at - self._parts.now()) / 1e9
+        wait_s = max(0, at - self._callbacks.now()) / 1e9
         self._timer = asyncio.get_running_loop().call_later(wait_s, self._tick)
--- a/covetally/lab/caps.py
+++ b/covetally/lab/caps.py
@@ -17,8 +17,8 @@
 from covetally.caps.member import NODE, RESTS_NS, Use, bound
 from covetally.interface import SECOND
 from covetally.rig.schedule import WELL, Link, Schedule, Step
-from covetally.gossip import Part, Word, decode, encode
-from covetally.gossip.transport import ALL, Send
+from covetally.gossip import Topic, Message, decode, encode
+from covetally.gossip.transport import BROADCAST, Outgoing
 
 MS = SECOND // 1000
 REST_NS = SECOND
@@ -108,11 +108,11 @@
         elif self.now - member.idle_since > REST_NS:
             member.open = member.wanted
 
-    def _send(self, member: _Member, sends: list[Send]) -> None:
+    def _send(self, member: _Member, sends: list[Outgoing]) -> None:
         for to, word in sends:
             self.sent[member.number] += 1
             data = encode(word)
-            targets = range(self.rule.members) if to == ALL else (to,)
+            targets = range(self.rule.members) if to == BROADCAST else (to,)
             for other in targets:
                 if other == member.number:
                     continue
@@ -123,9 +123,9 @@
         member = self.members[number]
         if member.stopped:
             return
-        word: Word = decode(data)
-        assert word.part is Part.CAPS
-        self._send(member, member.caps.heard(member.clock(self.now), word))
+        word: Message = decode(data)
+        assert word.topic is Topic.CAPS
+        self._send(member, member.caps.receive(member.clock(self.now), word))
 
     # --- faults ---------------------------------------------------------------------------------
 
--- a/covetally/lab/line.py
+++ b/covetally/lab/line.py
@@ -15,9 +15,9 @@
 from covetally.overload import Member, Policy
 from covetally.overload.words import LineWord, decode, encode
 from covetally.rig.schedule import WELL, Link, Schedule, Step
-from covetally.gossip import Word
+from covetally.gossip import Message
 
-Liar = Callable[[int, Word], Word | None]
+Liar = Callable[[int, Message], Message | None]
 
 
 class Lined:
@@ -49,14 +49,14 @@
         if number in self.stopped:
             return
         sends = member.tick(fleet.now)
-        for event in member.told(fleet.now):
+        for event in member.events(fleet.now):
             fleet.sidecars[number].handle(event)
         for _, word in sends:
             lied = self._lies[number](fleet.now, word) if number in self._lies else word
             if lied is not None:
                 self._send(number, lied)
 
-    def _send(self, number: int, word: Word) -> None:
+    def _send(self, number: int, word: Message) -> None:
         self.said += 1
         now_s = self.fleet.now / SECOND
         if not self._links:
@@ -66,14 +66,14 @@
             for delay_s in self._links.get((number, other), WELL).delays(now_s, self._rng):
                 self.fleet.after(int(delay_s * SECOND), self._heard, other, word)
 
-    def _all(self, number: int, word: Word) -> None:
+    def _all(self, number: int, word: Message) -> None:
         for other in range(len(self.members)):
             if other != number:
                 self._heard(other, word)
 
-    def _heard(self, number: int, word: Word) -> None:
+    def _heard(self, number: int, word: Message) -> None:
         if number not in self.stopped:
-            self.members[number].heard(self.fleet.now, word)
+            self.members[number].receive(self.fleet.now, word)
 
     def _sample(self) -> None:
         rungs = [m.line.rung for i, m in enumerate(self.members) if i not in self.stopped]
@@ -107,7 +107,7 @@
                     self.members[number] = self._member(number)
 
 
-def changed(word: Word, **figures: Any) -> Word:
+def changed(word: Message, **figures: Any) -> Message:
     """A word with other figures in it, for liars."""
     told: LineWord = decode(word.body)
     rung = figures.pop("rung", told.rung)
--- a/covetally/overload/member.py
+++ b/covetally/overload/member.py
@@ -16,8 +16,8 @@
 from covetally.overload.shares import Shares
 from covetally.overload.spending import RETRIES, gap_ns, saved
 from covetally.overload.words import Echo, LineWord, decode, encode
-from covetally.gossip import Newest, Part, Word, first_number
-from covetally.gossip.transport import ALL, Send
+from covetally.gossip import LatestMessages, Topic, Message, first_sequence
+from covetally.gossip.transport import BROADCAST, Outgoing
 
 COUNTS_NS = 3 * SECOND // 2  # a word counts for so long
 SPEAKERS = 16  # members that speak in one look, of all
@@ -54,8 +54,8 @@
         self.lapsed: Pin | None = None  # the last pin, once its time was over
         self.refused: Counter[tuple[int, str]] = Counter()  # by class and rung's name
         self.garbage = 0
-        self._words: Newest[LineWord] = Newest(me, COUNTS_NS)
-        self._number = first_number(now)
+        self._words: LatestMessages[LineWord] = LatestMessages(me, COUNTS_NS)
+        self._number = first_sequence(now)
         self._told_at = now
         self._sent: deque[tuple[int, int]] = deque(maxlen=64)  # numbers of own words, and when they were said
         self.delay_ns = 0  # of words, one way, as echoes tell
@@ -85,12 +85,12 @@
 
     # --- words ----------------------------------------------------------------------------------
 
-    def heard(self, now: int, word: Word) -> list[Send]:
-        """A member's word; BadWord if its body is none."""
+    def receive(self, now: int, word: Message) -> list[Outgoing]:
+        """A member's word; MalformedMessageError if its body is none."""
         if word.sender < self.size:
             said = decode(word.body)
-            if self._words.heard(now, word, said):
-                self._last = (word.sender, word.number % 65536, now)
+            if self._words.record(now, word, said):
+                self._last = (word.sender, word.sequence % 65536, now)
                 if said.echo is not None and said.echo.sender == self.me:
                     self._measure(now, said.echo)
         return []
@@ -103,14 +103,14 @@
             self.delay_ns += (way - self.delay_ns) // 2 if self._delay_at else way
             self._delay_at = now
 
-    def tick(self, now: int) -> list[Send]:
+    def tick(self, now: int) -> list[Outgoing]:
         """Time has passed: what to say to all, if anything. Next at `due`."""
         if now < self.due:
             return []
         self.due = now + WINDOW_NS
         self.pressure.turn(now)
         own = self.pressure.seen()
-        words = [(word, at) for _, word, at in self._words.fresh(now)]
+        words = [(word, at) for _, word, at in self._words.unexpired(now)]
         if self.delay_ns > LATE_NS and now - self._delay_at < DELAY_NS:
             words = []
         least, most = self._bounds(now)
@@ -124,7 +124,7 @@
         self._sent.append((self._number, now))
         echo = Echo(*self._last[:2], now - self._last[2]) if now - self._last[2] < COUNTS_NS else None
         body = encode(LineWord(self.line.rung, self.line.rung if self.pin else -1, own, echo))
-        return [Send(ALL, Word(Part.LINE, self.me, self.life, self._number, body))]
+        return [Outgoing(BROADCAST, Message(Topic.OVERLOAD, self.me, self.life, self._number, body))]
 
     def _bounds(self, now: int) -> tuple[int, int]:
         pin = self.pin
@@ -132,11 +132,11 @@
             self.pin, self.lapsed, pin = None, pin, None
         return (pin.least, pin.most) if pin is not None else (ladder.OPEN, ladder.LAST)
 
-    def leave(self, now: int) -> list[Send]:
+    def leave(self, now: int) -> list[Outgoing]:
         """Nothing is owed to anybody: words lapse."""
         return []
 
-    def told(self, now: int) -> list[Told]:
+    def events(self, now: int) -> list[Told]:
         """What the balancer is told: once a look."""
         if now < self._told_at:
             return []
@@ -159,7 +159,7 @@
         return {
             "rung": line.rung, "step": ladder.name(line.rung), "for_s": round((now - line.since) / SECOND, 1),
             "why": line.step.value, "load": round(line.load, 2), "voters": line.voters,
-            "heard": sum(1 for _ in self._words.fresh(now)),
+            "heard": sum(1 for _ in self._words.unexpired(now)),
             "pin": self.pin.text if self.pin else "", "pin_for_s": self._left(now),
             "lapsed": self.lapsed.text if self.lapsed else "",
             "refused": {f"{self._name(cls)}: {step}": n for (cls, step), n in sorted(self.refused.items())},
--- a/covetally/overload/words.py
+++ b/covetally/overload/words.py
@@ -21,7 +21,7 @@
 
 from covetally.overload.ladder import LAST
 from covetally.overload.pressure import Seen
-from covetally.gossip import BadWord
+from covetally.gossip import MalformedMessageError
 
 HEAD = Struct(">BBHHHHHHBB")
 TENANT = Struct(">BH")
@@ -68,14 +68,14 @@
 
 
 def decode(body: bytes) -> LineWord:
-    """The word in a body; BadWord if there is none, or a figure is out of range."""
+    """The word in a body; MalformedMessageError if there is none, or a figure is out of range."""
     try:
         rung, pin, weight, ratio, admitted, served, *echoed, count = HEAD.unpack_from(body)
         tenants = tuple(TENANT.unpack_from(body, HEAD.size + i * TENANT.size) for i in range(count))
     except error as damage:
-        raise BadWord(str(damage)) from None
+        raise MalformedMessageError(str(damage)) from None
     if rung > LAST or count > MOST_TENANTS or (pin > LAST and pin != NO_PIN):
-        raise BadWord("a figure out of range")
+        raise MalformedMessageError("a figure out of range")
     echo = None if echoed[0] == MOST else Echo(echoed[0], echoed[1], echoed[2] * HELD_NS)
     seen = Seen(weight, ratio / 100, admitted, served, tenants)
     return LineWord(rung, -1 if pin == NO_PIN else pin, seen, echo)
--- a/covetally/spoken.py
+++ b/covetally/spoken.py
@@ -21,8 +21,8 @@
 from covetally.overload.member import Member
 from covetally.overload.pins import parse
 from covetally.overload.settings import Plan as LinePlan
-from covetally.gossip import Part
-from covetally.gossip.transport import Parts, Shell, Speaker
+from covetally.gossip import Topic
+from covetally.gossip.transport import TransportCallbacks, GossipTransport, Participant
 
 log = logging.getLogger("covetally")
 
@@ -42,29 +42,29 @@
         self._nodes: set[int] = set()  # tenants with a cap on connections to nodes
         self._pin = ""
         self._rung = 0
-        self.shell: Shell | None = None
+        self.shell: GossipTransport | None = None
 
     def adopt(self, configuration: Configuration) -> None:
         """Take part as is wanted now."""
         now = self._clock.now()
-        speakers: dict[Part, Speaker] = {}
+        speakers: dict[Topic, Participant] = {}
         if (plan := configuration.overload) is not None:
-            speakers[Part.LINE] = self._with_line(now, plan, configuration.config.settings)
+            speakers[Topic.OVERLOAD] = self._with_line(now, plan, configuration.config.settings)
         elif self._line is not None:
             self._line = self._sidecar.watcher = None
             self._pin = ""
         if (caps := configuration.caps) is not None:
-            speakers[Part.CAPS] = self._with_caps(now, caps, configuration.config.settings)
+            speakers[Topic.CAPS] = self._with_caps(now, caps, configuration.config.settings)
         elif self._caps is not None:
             self._without_caps(now)
-        if self.shell is not None and set(self.shell.speakers) != set(speakers):
+        if self.shell is not None and set(self.shell.participants) != set(speakers):
             self.shell.stop(leave=False)
             self.shell = None
         if speakers and self.shell is None:
-            self.shell = Shell(Parts(self._clock.now, self._send, self._advise), speakers)
+            self.shell = GossipTransport(TransportCallbacks(self._clock.now, self._send, self._advise), speakers)
             self.shell.start()
         elif self.shell is not None:
-            self.shell.again()
+            self.shell.tick_now()
 
     # --- the line -------------------------------------------------------------------------------
 
@@ -137,7 +137,7 @@
     def heard(self, sender: int, data: bytes) -> None:
         """A word of another sidecar."""
         if self.shell is not None:
-            self.shell.heard(sender, data)
+            self.shell.receive(sender, data)
 
     def stop(self) -> None:
         """Take no part any more: what is held goes back."""
--- a/tests/caps/test_units.py
+++ b/tests/caps/test_units.py
@@ -19,7 +19,7 @@
 from covetally.interface import SECOND
 from covetally.lab.caps import Play
 from covetally.rig.schedule import Link, Schedule, Step, draw
-from covetally.gossip import BadWord
+from covetally.gossip import MalformedMessageError
 
 SEED = int(os.environ.get("CAPS_SEED", "0"))
 
@@ -51,7 +51,7 @@
 
 @given(st.binary(max_size=40))
 def test_bytes_are_a_message_or_damaged(data):
-    with contextlib.suppress(BadWord):
+    with contextlib.suppress(MalformedMessageError):
         assert encode(decode(data)) == data[:21]
 
 
--- a/tests/overload/test_line.py
+++ b/tests/overload/test_line.py
@@ -14,7 +14,7 @@
 from covetally.overload.shares import Shares
 from covetally.overload.words import LineWord, decode, encode
 from covetally.rig.site import settings
-from covetally.gossip import BadWord
+from covetally.gossip import MalformedMessageError
 
 CONFIG = Settings.parse(settings(0, 10, 0.25, 8000))
 LOOK = SECOND // 4
@@ -103,7 +103,7 @@
     try:
         word = decode(body)
         assert 0 <= word.rung <= ladder.LAST
-    except BadWord:
+    except MalformedMessageError:
         pass
 
 
