--- a/covetally/caps/member.py
+++ b/covetally/caps/member.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass, field
 from typing import Any, NamedTuple
 
-from covetally.caps.holder import Ask, Holder
-from covetally.caps.home import Asked, Grant, Home, Recall
+from covetally.caps.lease_holder import Ask, Holder
+from covetally.caps.owner import Asked, Grant, Home, Recall
 from covetally.caps.messages import Kind, Say, decode, encode
 from covetally.caps.rule import Mode, Rule
 from covetally.interface import SECOND, Allotted
--- a/covetally/net/client.py
+++ b/covetally/net/client.py
@@ -177,7 +177,7 @@
             self.close(_TIME_UP[self._phase])
 
     def evict(self) -> None:
-        """Close at once, because its tenant may hold fewer connections (see covetally/caps/gate.py)."""
+        """Close at once, because its tenant may hold fewer connections (covetally/caps/connection_limiter.py)."""
         self.close(CloseReason.TENANT_CAP)
 
     def turn_away(self) -> None:
--- a/covetally/net/seams.py
+++ b/covetally/net/seams.py
@@ -42,7 +42,7 @@
 
 
 class Gate(Protocol):
-    """What bounds tenants' connections (covetally/caps/gate.py)."""
+    """What bounds tenants' connections (covetally/caps/connection_limiter.py)."""
 
     def admit(self, connection: Any, tenant: int) -> int:
         """0 if a request on it may be served, else after how many ns its client may come back."""
--- a/covetally/process.py
+++ b/covetally/process.py
@@ -41,7 +41,7 @@
     from covetally.membership.roster import Roster
     from covetally.membership.settings import Plan
     from covetally.operator.schema import Values
-    from covetally.spoken import Spoken
+    from covetally.shared_decisions import SharedDecisions
     from covetally.tier.shell import Shell
 
 TIER_MARK, TIER_LEAST = 0x54, 18  # see covetally/tier/wire.py
@@ -83,7 +83,7 @@
         self.on_ready: Callable[[], None] | None = None
         self.roster: Roster | None = None
         self.tier: Shell | None = None
-        self.spoken: Spoken | None = None
+        self.shared_decisions: SharedDecisions | None = None
         self.registrar: Registrar | None = None
         self.monitor = LoopMonitor()
         self.clock = clock = Clock()
@@ -239,8 +239,8 @@
         """The module's rumours have 8 bytes; the tier's messages begin with their mark and have more."""
         if self.tier is not None and len(data) > TIER_LEAST and data[0] == TIER_MARK:
             self.tier.heard(sender, data)
-        elif self.spoken is not None and len(data) >= WORD_LEAST and data[0] == WORD_MARK:
-            self.spoken.heard(sender, data)
+        elif self.shared_decisions is not None and len(data) >= WORD_LEAST and data[0] == WORD_MARK:
+            self.shared_decisions.receive(sender, data)
         else:
             self.sidecar.heard(data)
 
@@ -265,21 +265,27 @@
 
     def _respeak(self) -> None:
         """Take part in what sidecars decide by words, as is wanted now."""
-        if self.spoken is None:
+        if self.shared_decisions is None:
             if self.configuration.overload is None and self.configuration.caps is None:
                 return
-            from covetally.spoken import Spoken
+            from covetally.shared_decisions import SharedDecisions
 
-            self.spoken = Spoken(self.clock, self.peers.send, self.sidecar, self.frontend)
-        self.spoken.adopt(self.configuration)
+            self.shared_decisions = SharedDecisions(self.clock, self.peers.send, self.sidecar, self.frontend)
+        self.shared_decisions.apply_configuration(self.configuration)
 
     async def overload_table(self) -> dict[str, Any]:
         """Where the fleet's overload line stands here, for operators."""
-        return self.spoken.line_table() if self.spoken is not None else {"off": "overload.mode is off here"}
+        return (
+            self.shared_decisions.overload_table()
+            if self.shared_decisions is not None
+            else {"off": "overload.mode is off here"}
+        )
 
     async def caps_table(self) -> dict[str, Any]:
         """Workshops' connection caps as they stand here, for operators."""
-        return self.spoken.caps_table() if self.spoken is not None else {"off": "no caps here"}
+        return (
+            self.shared_decisions.caps_table() if self.shared_decisions is not None else {"off": "no caps here"}
+        )
 
     async def tier_table(self) -> dict[str, Any]:
         """What this sidecar knows of its tier, for operators."""
@@ -347,8 +353,8 @@
         self.discovery.stop()
         if self.tier is not None:
             self.tier.stop()
-        if self.spoken is not None:
-            self.spoken.stop()
+        if self.shared_decisions is not None:
+            self.shared_decisions.stop()
         if self.roster is not None:
             self.roster.stop()
             await self.roster.saved()
--- a/covetally/spoken.py
+++ b/covetally/shared_decisions.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from covetally.caps import Cap, Caps
-from covetally.caps.gate import Gate
+from covetally.caps.connection_limiter import Gate
 from covetally.caps.member import CLIENT, NODE, Use
 from covetally.caps.settings import Plan as CapsPlan
 from covetally.configuration import Configuration
@@ -27,7 +27,7 @@
 log = logging.getLogger("covetally")
 
 
-class Spoken:
+class SharedDecisions:
     """The parts that speak, for as long as they are wanted."""
 
     def __init__(
@@ -44,7 +44,7 @@
         self._rung = 0
         self.shell: GossipTransport | None = None
 
-    def adopt(self, configuration: Configuration) -> None:
+    def apply_configuration(self, configuration: Configuration) -> None:
         """Take part as is wanted now."""
         now = self._clock.now()
         speakers: dict[Topic, Participant] = {}
@@ -134,7 +134,7 @@
 
     # --- both -----------------------------------------------------------------------------------
 
-    def heard(self, sender: int, data: bytes) -> None:
+    def receive(self, sender: int, data: bytes) -> None:
         """A word of another sidecar."""
         if self.shell is not None:
             self.shell.receive(sender, data)
@@ -148,7 +148,7 @@
             self._without_caps(self._clock.now())
         self._pin = ""
 
-    def line_table(self) -> dict[str, Any]:
+    def overload_table(self) -> dict[str, Any]:
         """The line, for operators."""
         if self._line is None:
             return {"off": "overload.mode is off here"}
--- a/tests/caps/test_units.py
+++ b/tests/caps/test_units.py
@@ -10,9 +10,9 @@
 from hypothesis import strategies as st
 
 from covetally.caps import Mode, Rule
-from covetally.caps.gate import Gate
-from covetally.caps.holder import NEXT_NS, OWED_NS, Holder
-from covetally.caps.home import RECALL_NS, WAITS_NS, Asked, Grant, Home, Recall
+from covetally.caps.connection_limiter import Gate
+from covetally.caps.lease_holder import NEXT_NS, OWED_NS, Holder
+from covetally.caps.owner import RECALL_NS, WAITS_NS, Asked, Grant, Home, Recall
 from covetally.caps.member import CLIENT, RESTS_NS, Cap
 from covetally.caps.messages import Kind, Say, decode, encode
 from covetally.caps.rule import HOMES, homes
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -95,6 +95,6 @@
         "overload/",
         "gossip/",
         "caps/",
-        "spoken",
+        "shared_decisions",
     )
     assert [f for f in files if f.removeprefix("covetally/").startswith(optional)] == []
