--- a/covetally/caps/__init__.py
+++ b/covetally/caps/__init__.py
@@ -1,6 +1,6 @@
-"""How many connections a tenant may hold over all sidecars, in whole units that have a home each. No I/O."""
+"""Limits how many connections a tenant may hold over all sidecars, in units owned by a few of them. No I/O."""
 
-from covetally.caps.member import Cap, Caps
+from covetally.caps.member import Cap, CapsMember
 from covetally.caps.rule import Mode, Rule
 
-__all__ = ["Cap", "Caps", "Mode", "Rule"]
+__all__ = ["Cap", "CapsMember", "Mode", "Rule"]
--- a/covetally/caps/connection_limiter.py
+++ b/covetally/caps/connection_limiter.py
@@ -1,5 +1,8 @@
-"""The client connections of each capped tenant at this sidecar: which count, which rest, which have to go. No
-I/O: a connection is told to close, or to close after its answer."""
+"""Limits the client connections of each capped tenant at this sidecar. No I/O.
+
+It counts the connections of a tenant, knows which are idle, and chooses the ones to close: idle ones at once,
+others after their current response.
+"""
 
 from __future__ import annotations
 
@@ -7,111 +10,118 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from covetally.caps.member import CLIENT, RESTS_NS, Cap, Use
+from covetally.caps.member import CLIENT, MIN_IDLE_NS, Cap, Usage
 from covetally.interface import SECOND
 
-WANTED_NS = SECOND // 2  # a refusal counts as a connection wanted for so long
+REFUSAL_COUNTS_NS = SECOND // 2  # how long a refusal counts as a wanted connection
 
 
 class Connection(Protocol):
-    """A client's connection, as the frontend has it."""
+    """A client connection of the frontend."""
 
-    surplus: bool  # it is closed after the answer that it is owed
+    surplus: bool  # it is closed after the response to its current request
 
     def silent(self) -> bool:
-        """Whether nothing of a request has come."""
+        """Return whether no part of a request has been received."""
 
     def evict(self) -> None:
         """Close at once, because its tenant may hold fewer connections."""
 
 
-class Gate:
-    """`usable` tells how many connections of a capped tenant may be open now; None where it has no cap."""
+class ConnectionLimiter:
+    """Admits requests of capped tenants up to the number of connections that each may hold.
+
+    `usable` returns how many connections of a tenant may be open now, or None for a tenant without a cap.
+    `retry_after_ns` is when a refused client may come back.
+    """
 
-    def __init__(self, now: Callable[[], int], usable: Callable[[int], int | None], come_back_ns: int) -> None:
-        self._now, self._usable, self._come_back_ns = now, usable, come_back_ns
-        self._of: dict[Connection, int] = {}  # the tenant of each connection that counts
-        self._resting: dict[int, dict[Connection, int]] = {}  # by tenant, the longest first
-        self._refused: dict[int, deque[int]] = {}
+    def __init__(self, now: Callable[[], int], usable: Callable[[int], int | None], retry_after_ns: int) -> None:
+        self._now, self._usable, self._retry_after_ns = now, usable, retry_after_ns
+        self._tenants: dict[Connection, int] = {}  # the tenant of each counted connection
+        self._idle_since: dict[int, dict[Connection, int]] = {}  # by tenant, the longest idle first
+        self._refusals: dict[int, deque[int]] = {}  # by tenant, when
         self.refused = 0
-        self.closed = 0
+        self.evicted = 0
 
     def admit(self, connection: Connection, tenant: int) -> int:
-        """A request has come on a connection: 0 if it may be served, else after how many ns its client may come
-        back. Whatever this sidecar may not hold any more goes first."""
-        most = self._usable(tenant)
-        known = self._of.get(connection)
+        """Return 0 if a request on this connection may be served, else the ns until its client may come back.
+
+        Connections beyond what this sidecar may hold now are closed first.
+        """
+        limit = self._usable(tenant)
+        known = self._tenants.get(connection)
         if known is not None:
-            self._resting.get(known, {}).pop(connection, None)
+            self._idle_since.get(known, {}).pop(connection, None)
             if known != tenant:
-                self.ended(connection)  # it belongs to whoever it serves now
+                self.ended(connection)  # it counts for the tenant of its latest request
                 known = None
-        if most is None:
+        if limit is None:
             return 0
-        self.shed(tenant, most)
+        self.close_surplus(tenant, limit)
         if known is not None:
-            # One too many, and not resting: it was asked for back while this request was on its way.
+            # Not idle, but surplus: its unit was recalled while this request was in transit.
             return 0 if not connection.surplus else self._refuse(tenant)
         open_ = self._count(tenant)
-        if open_ >= most and not (most and self._close_resting(tenant, 1, self._now() - RESTS_NS)):
+        if open_ >= limit and not (limit and self._close_idle(tenant, 1, self._now() - MIN_IDLE_NS)):
             return self._refuse(tenant)
-        self._of[connection] = tenant
+        self._tenants[connection] = tenant
         return 0
 
-    def shed(self, tenant: int, most: int) -> None:
-        """Close what is beyond `most`: what rests, the longest first; the others after their answers."""
-        over = self._count(tenant) - most
-        if over <= 0:
+    def close_surplus(self, tenant: int, limit: int) -> None:
+        """Close connections beyond `limit`: the longest idle first, then others after their responses."""
+        surplus = self._count(tenant) - limit
+        if surplus <= 0:
             return
-        over -= self._close_resting(tenant, over)
-        for connection, of in self._of.items():
-            if over <= 0:
+        surplus -= self._close_idle(tenant, surplus)
+        for connection, counted_for in self._tenants.items():
+            if surplus <= 0:
                 break
-            if of == tenant:
+            if counted_for == tenant:
                 connection.surplus = True
-                over -= 1
+                surplus -= 1
 
     def idle(self, connection: Connection) -> None:
-        """It has no request under way any more."""
-        tenant = self._of.get(connection)
+        """Record that a connection has no request in progress."""
+        tenant = self._tenants.get(connection)
         if tenant is not None:
-            self._resting.setdefault(tenant, {})[connection] = self._now()
+            self._idle_since.setdefault(tenant, {})[connection] = self._now()
 
     def ended(self, connection: Connection) -> None:
-        """It is closed."""
-        tenant = self._of.pop(connection, None)
+        """Forget a connection that is closed."""
+        tenant = self._tenants.pop(connection, None)
         if tenant is not None:
-            self._resting.get(tenant, {}).pop(connection, None)
+            self._idle_since.get(tenant, {}).pop(connection, None)
 
-    def look(self, now: int, cap: Cap) -> Use:
-        """What is used of a cap on client connections; closes what may not be held any more."""
+    def usage(self, now: int, cap: Cap) -> Usage:
+        """Close the connections that may not be held any more, and return the usage of a client cap."""
         assert cap.kind == CLIENT
         tenant = cap.tenant
-        most = self._usable(tenant)
-        if most is not None:
-            self.shed(tenant, most)
-        refused = self._refused.get(tenant, deque())
-        while refused and now - refused[0] >= WANTED_NS:
-            refused.popleft()
-        rested = [since for since in self._resting.get(tenant, {}).values() if now - since >= RESTS_NS]
-        return Use(self._count(tenant), len(refused), len(rested), now - rested[0] if rested else 0)
+        limit = self._usable(tenant)
+        if limit is not None:
+            self.close_surplus(tenant, limit)
+        refusals = self._refusals.get(tenant, deque())
+        while refusals and now - refusals[0] >= REFUSAL_COUNTS_NS:
+            refusals.popleft()
+        idle = [since for since in self._idle_since.get(tenant, {}).values() if now - since >= MIN_IDLE_NS]
+        return Usage(self._count(tenant), len(refusals), len(idle), now - idle[0] if idle else 0)
 
     def _count(self, tenant: int) -> int:
-        return sum(of == tenant for of in self._of.values())
+        return sum(counted_for == tenant for counted_for in self._tenants.values())
 
-    def _close_resting(self, tenant: int, count: int, before: int | None = None) -> int:
+    def _close_idle(self, tenant: int, count: int, idle_before: int | None = None) -> int:
+        """Close up to `count` connections that are idle (since `idle_before`, if given); returns how many."""
         closed = 0
-        for connection, since in list(self._resting.get(tenant, {}).items()):
-            if closed >= count or (before is not None and since > before):
+        for connection, since in list(self._idle_since.get(tenant, {}).items()):
+            if closed >= count or (idle_before is not None and since > idle_before):
                 break
-            if connection.silent():  # else a request is on its way: it is served
+            if connection.silent():  # otherwise a request is arriving, which is served
                 connection.evict()
                 closed += 1
                 self.ended(connection)
-        self.closed += closed
+        self.evicted += closed
         return closed
 
     def _refuse(self, tenant: int) -> int:
         self.refused += 1
-        self._refused.setdefault(tenant, deque(maxlen=4096)).append(self._now())
-        return self._come_back_ns
+        self._refusals.setdefault(tenant, deque(maxlen=4096)).append(self._now())
+        return self._retry_after_ns
--- a/covetally/caps/lease_holder.py
+++ b/covetally/caps/lease_holder.py
@@ -1,8 +1,8 @@
-"""One sidecar's units of a cap: what it has of each home, what it wants, when it has to be without. No I/O.
+"""One sidecar's leases on units of a cap: what each owner has lent, what is wanted, what expires when. No I/O.
 
-A grant counts only if it answers the last ask to that home: whatever is on its way when an ask goes out is
-void, and the home takes `held` in that ask for what is there. A unit of a home lapses one lease after the ask
-was SENT that the last grant answered, which is before the home may lend it again.
+A grant counts only if it answers the last request to that owner: any grant that is in transit when a request is
+sent is void, and the owner takes `held` of that request as what is there. Units lapse one lease after the request
+was SENT that the last grant answered, which is before the owner may lend them to another holder.
 """
 
 from __future__ import annotations
@@ -13,190 +13,200 @@
 from covetally.caps.rule import Mode, Rule
 from covetally.interface import SECOND
 
-PAUSE_NS = SECOND // 4  # between asks to a home that does not answer
-AT_ONCE = 4  # homes asked at a time for units that are wanted
-NEXT_NS = SECOND // 20  # until the next ones are
-OWED_NS = SECOND // 2  # a home that still wants a unit back has said so again by then
-KEEPS_NS = SECOND // 4  # a unit that nothing needs is given back after so long
+RETRY_NS = SECOND // 4  # first pause between requests to an owner that does not answer; doubles up to 2 s
+MAX_OWNERS_AT_ONCE = 4  # owners asked for more units at a time
+REQUEST_INTERVAL_NS = SECOND // 20  # until the next owners are asked
+RECALL_TIMEOUT_NS = SECOND // 2  # an owner that still wants a unit back has repeated the recall by then
+RETURN_DELAY_NS = SECOND // 4  # a unit that is not needed is returned after this time
 
 
-class Ask(NamedTuple):
-    """For a home; see `home`."""
+class LeaseRequest(NamedTuple):
+    """A request to the owner with index `owner`; the module `owner` says how it is processed."""
 
-    to: int
+    owner: int
     number: int
     held: int
-    wants: int
+    wanted: int
 
 
 @dataclass(slots=True)
-class _Loan:
-    """What one home has lent to this sidecar."""
+class _Lease:
+    """What one owner has lent to this sidecar."""
 
-    number: int = 0
+    number: int = 0  # of the last request
     held: int = 0
-    sent: int = 0  # when the last ask went out
-    asked: int = 0  # units wanted in it
-    waits: int = 0  # of these not granted yet: this holder stands in the home's queue for them
+    sent_at: int = 0  # when the last request was sent
+    requested: int = 0  # units wanted in it
+    queued: int = 0  # of these, not granted yet: this holder is in the owner's queue for them
     answered: bool = True
-    lapses: int = 0
-    again: int = 0  # not asked for more before
-    misses: int = 0  # asks in a row without an answer
-    owed: int = 0  # asked back, and still in use
-    owed_at: int = 0
+    expires_at: int = 0
+    retry_at: int = 0  # no more units are requested before
+    unanswered: int = 0  # requests in a row without an answer
+    recalled: int = 0  # units that the owner wants back and that are still in use
+    recalled_at: int = 0
 
 
-class Holder:
-    """One sidecar's units of a cap."""
+class LeaseHolder:
+    """One sidecar's units of a cap, over all owners."""
 
-    def __init__(self, rule: Rule, me: int, now: int, first: int = 0) -> None:
+    def __init__(self, rule: Rule, me: int, now: int, first_number: int = 0) -> None:
         self.rule, self.me = rule, me
-        self.needs = 0  # units in use or wanted now
-        self._first = first
-        self._loans = {home: _Loan(number=first) for home in rule.homes()}
-        self._order = self._turned()
-        self._asked_at = now
-        self._spare_from = now
-        self._resting = False
-
-    def _turned(self) -> list[int]:
-        """Each member asks the homes from another one on."""
-        found = list(self.rule.homes())
-        turn = self.me % len(found) if found else 0
-        order = found[turn:] + found[:turn]
-        return sorted(order, key=lambda home: home != self.me)  # its own units first
-
-    def change(self, now: int, rule: Rule) -> None:
-        """The cap, or the list of members, is another. What was lent stays until it lapses or is asked back."""
+        self.needed = 0  # units in use or wanted now
+        self._first_number = first_number
+        self._leases = {owner: _Lease(number=first_number) for owner in rule.owners()}
+        self._order = self._request_order()
+        self._requested_at = now
+        self._surplus_since = now
+        self._was_idle = False
+
+    def _request_order(self) -> list[int]:
+        """Return the owners in the order to ask them: itself first, then from a different start per member."""
+        owners = list(self.rule.owners())
+        turn = self.me % len(owners) if owners else 0
+        order = owners[turn:] + owners[:turn]
+        return sorted(order, key=lambda owner: owner != self.me)
+
+    def update_rule(self, now: int, rule: Rule) -> None:
+        """Apply a changed cap or list of members. Units keep their leases until these lapse or are recalled."""
         self.rule = rule
-        for home in rule.homes():
-            self._loans.setdefault(home, _Loan(number=self._first))
-        self._order = self._turned()
+        for owner in rule.owners():
+            self._leases.setdefault(owner, _Lease(number=self._first_number))
+        self._order = self._request_order()
 
     def held(self, now: int) -> int:
-        """Units that are here now."""
-        return sum(loan.held for loan in self._loans.values() if self._counts(loan, now))
+        """Return how many units this sidecar has now."""
+        return sum(lease.held for lease in self._leases.values() if self._is_valid(lease, now))
 
     def usable(self, now: int) -> int:
-        """Units that may be used now: without those that are asked back."""
-        return self.held(now) - sum(min(loan.owed, loan.held) for loan in self._loans.values())
+        """Return how many units may be used now: those held, without the recalled ones."""
+        return self.held(now) - sum(min(lease.recalled, lease.held) for lease in self._leases.values())
 
-    def _counts(self, loan: _Loan, now: int) -> bool:
-        return self.rule.mode is Mode.NEVER or now < loan.lapses
+    def _is_valid(self, lease: _Lease, now: int) -> bool:
+        return self.rule.mode is Mode.NEVER or now < lease.expires_at
 
-    def lapses_at(self, now: int) -> int:
-        """When the next of them lapses; 0: none does."""
+    def expires_at(self, now: int) -> int:
+        """Return when the next lease expires; 0 if none does."""
         if self.rule.mode is Mode.NEVER:
             return 0
-        return min((loan.lapses for loan in self._loans.values() if loan.held and now < loan.lapses), default=0)
-
-    def tick(self, now: int, in_use: int, resting: int = 0) -> list[Ask]:
-        """Time has passed; `in_use` connections are open, of which some rest. Renews, asks for what it needs,
-        gives back what it does not need any more, and tells homes when something begins to rest: somebody may
-        wait."""
-        begins = resting > 0 and not self._resting
-        self._resting = resting > 0
+        return min(
+            (lease.expires_at for lease in self._leases.values() if lease.held and now < lease.expires_at),
+            default=0,
+        )
+
+    def tick(self, now: int, in_use: int, idle: int = 0) -> list[LeaseRequest]:
+        """Renew leases, request the units that are needed and return those that are not.
+
+        `in_use` connections are open, of which `idle` are idle. Owners are informed when connections become idle,
+        since another holder may be waiting.
+        """
+        becomes_idle = idle > 0 and not self._was_idle
+        self._was_idle = idle > 0
         if self.rule.mode is Mode.LAPSES:
-            for loan in self._loans.values():
-                if loan.held and now >= loan.lapses:
-                    loan.held = 0
-        out: list[Ask] = []
+            for lease in self._leases.values():
+                if lease.held and now >= lease.expires_at:
+                    lease.held = 0
+        out: list[LeaseRequest] = []
         held = self.held(now)
-        if self.needs >= held:
-            self._spare_from = now
-        spare = held - self.needs if now - self._spare_from >= KEEPS_NS else 0
-        for home, loan in self._loans.items():
-            if loan.owed and now - loan.owed_at >= OWED_NS:
-                loan.owed = 0  # what rested is in use again, and nobody waits any more
-            stale = loan.held and (begins or now - loan.sent >= self.rule.lease_ns // 2)
-            # Else units that others want would come here first, and lie unused for KEEPS_NS.
-            leaves = loan.waits and loan.answered and self.needs <= held
-            retry = not loan.answered and now - loan.sent >= min(PAUSE_NS << min(loan.misses, 3), 2 * SECOND)
-            owed = loan.held if home not in self.rule.homes() else min(loan.owed, loan.held)
-            back = max(min(spare, loan.held), min(owed, held - in_use), 0)
-            if stale or retry or back or leaves:
-                loan.misses = loan.misses + 1 if retry else 0
-                spare -= back
-                held -= back
-                loan.held -= back
-                loan.owed = max(0, loan.owed - back)
-                out.append(self._ask(now, home, loan, 0))
-        return out + self._want(now)
-
-    def _want(self, now: int) -> list[Ask]:
-        out: list[Ask] = []
-        on_way = sum(loan.asked for loan in self._loans.values() if not loan.answered)
-        missing = self.needs - self.held(now) - on_way
-        if missing <= 0 or now - self._asked_at < NEXT_NS:
+        if self.needed >= held:
+            self._surplus_since = now
+        surplus = held - self.needed if now - self._surplus_since >= RETURN_DELAY_NS else 0
+        for owner, lease in self._leases.items():
+            if lease.recalled and now - lease.recalled_at >= RECALL_TIMEOUT_NS:
+                lease.recalled = 0  # the idle connections are in use again, and nobody waits any more
+            renew = lease.held and (becomes_idle or now - lease.sent_at >= self.rule.lease_ns // 2)
+            # Otherwise units that others want would be lent here first and stay unused for RETURN_DELAY_NS.
+            leave_queue = lease.queued and lease.answered and self.needed <= held
+            retry = not lease.answered and now - lease.sent_at >= min(
+                RETRY_NS << min(lease.unanswered, 3), 2 * SECOND
+            )
+            recalled = lease.held if owner not in self.rule.owners() else min(lease.recalled, lease.held)
+            returned = max(min(surplus, lease.held), min(recalled, held - in_use), 0)
+            if renew or retry or returned or leave_queue:
+                lease.unanswered = lease.unanswered + 1 if retry else 0
+                surplus -= returned
+                held -= returned
+                lease.held -= returned
+                lease.recalled = max(0, lease.recalled - returned)
+                out.append(self._request(now, owner, lease, 0))
+        return out + self._request_missing(now)
+
+    def _request_missing(self, now: int) -> list[LeaseRequest]:
+        out: list[LeaseRequest] = []
+        in_transit = sum(lease.requested for lease in self._leases.values() if not lease.answered)
+        missing = self.needed - self.held(now) - in_transit
+        if missing <= 0 or now - self._requested_at < REQUEST_INTERVAL_NS:
             return out
-        self._asked_at = now
-        # Whom it has not asked for longest first: else the same few would be asked over and over.
-        for home in sorted(self._order, key=lambda home: self._loans[home].sent):
-            if missing <= 0 or len(out) >= AT_ONCE:
+        self._requested_at = now
+        # Owners that were asked longest ago come first: otherwise the same few would be asked over and over.
+        for owner in sorted(self._order, key=lambda owner: self._leases[owner].sent_at):
+            if missing <= 0 or len(out) >= MAX_OWNERS_AT_ONCE:
                 break
-            loan = self._loans[home]
-            if loan.owed:
+            lease = self._leases[owner]
+            if lease.recalled:
                 continue
-            if loan.answered and now >= loan.again:
-                wants = min(missing, max(1, self.rule.units(home)))
-                out.append(self._ask(now, home, loan, wants))
-                missing -= wants
+            if lease.answered and now >= lease.retry_at:
+                wanted = min(missing, max(1, self.rule.owned_units(owner)))
+                out.append(self._request(now, owner, lease, wanted))
+                missing -= wanted
         return out
 
-    def _ask(self, now: int, home: int, loan: _Loan, wants: int) -> Ask:
-        loan.number += 1
-        loan.sent, loan.answered, loan.asked, loan.waits = now, False, wants, wants
-        return Ask(home, loan.number, loan.held, wants)
+    def _request(self, now: int, owner: int, lease: _Lease, wanted: int) -> LeaseRequest:
+        lease.number += 1
+        lease.sent_at, lease.answered, lease.requested, lease.queued = now, False, wanted, wanted
+        return LeaseRequest(owner, lease.number, lease.held, wanted)
 
-    def granted(self, now: int, home: int, number: int, lent: int, pause_ns: int) -> None:
-        """A home's answer."""
-        loan = self._loans.get(home)
-        if loan is None or number != loan.number or lent < 0:
+    def handle_grant(self, now: int, owner: int, number: int, lent: int, retry_delay_ns: int) -> None:
+        """Process an owner's answer to a request; ignored unless it answers the last one."""
+        lease = self._leases.get(owner)
+        if lease is None or number != lease.number or lent < 0:
             return
-        # A home whose queue this sidecar stands in grants more later, as of the same ask.
-        loan.lapses = loan.sent + self.rule.lease_ns
-        loan.waits = max(0, loan.waits - max(0, lent - loan.held))
-        loan.answered, loan.held, loan.misses = True, lent, 0
-        loan.owed = min(loan.owed, lent)
-        unmet = loan.asked > 0 and lent <= 0
-        loan.again = now + (pause_ns if unmet or self.needs > self.held(now) else 0)
-
-    def recalled(self, now: int, home: int, count: int, in_use: int, closes: int) -> list[Ask]:
-        """A home wants units back: what is unused goes at once; the rest, as far as `closes` connections may be
-        closed for it, is not usable any more, and goes back by `tick` once they have been."""
-        loan = self._loans.get(home)
-        if loan is None or not loan.held:
+        # An owner in whose queue this sidecar is grants more later, under the number of the same request.
+        lease.expires_at = lease.sent_at + self.rule.lease_ns
+        lease.queued = max(0, lease.queued - max(0, lent - lease.held))
+        lease.answered, lease.held, lease.unanswered = True, lent, 0
+        lease.recalled = min(lease.recalled, lent)
+        unmet = lease.requested > 0 and lent <= 0
+        lease.retry_at = now + (retry_delay_ns if unmet or self.needed > self.held(now) else 0)
+
+    def handle_recall(self, now: int, owner: int, count: int, in_use: int, closable: int) -> list[LeaseRequest]:
+        """Process an owner's recall of `count` units.
+
+        Unused units are returned at once. Beyond them as many units as `closable` connections may be closed are
+        no longer usable; `tick` returns them once their connections have been closed.
+        """
+        lease = self._leases.get(owner)
+        if lease is None or not lease.held:
             return []
         unused = max(0, self.held(now) - in_use)
-        loan.owed, loan.owed_at = min(count, loan.held, unused + closes), now
-        unused = min(unused, loan.owed)
+        lease.recalled, lease.recalled_at = min(count, lease.held, unused + closable), now
+        unused = min(unused, lease.recalled)
         if not unused:
             return []
-        loan.held -= unused
-        loan.owed -= unused
-        return [self._ask(now, home, loan, 0)]
-
-    def queried(self, now: int, home: int) -> list[Ask]:
-        """A home asks what is held of it."""
-        loan = self._loans.get(home)
-        if loan is None:
-            return [Ask(home, self._first + 1, 0, 0)]
-        return [self._ask(now, home, loan, 0)]
-
-    def give_all(self, now: int) -> list[Ask]:
-        """This sidecar ends: everything goes back."""
+        lease.held -= unused
+        lease.recalled -= unused
+        return [self._request(now, owner, lease, 0)]
+
+    def handle_query(self, now: int, owner: int) -> list[LeaseRequest]:
+        """Tell an owner what is held of its units."""
+        lease = self._leases.get(owner)
+        if lease is None:
+            return [LeaseRequest(owner, self._first_number + 1, 0, 0)]
+        return [self._request(now, owner, lease, 0)]
+
+    def return_all(self, now: int) -> list[LeaseRequest]:
+        """Return all units, because this sidecar is shutting down."""
         out = []
-        for home, loan in self._loans.items():
-            if loan.held or not loan.answered:
-                loan.held = 0
-                out.append(self._ask(now, home, loan, 0))
-        self.needs = 0
+        for owner, lease in self._leases.items():
+            if lease.held or not lease.answered:
+                lease.held = 0
+                out.append(self._request(now, owner, lease, 0))
+        self.needed = 0
         return out
 
     def table(self, now: int) -> dict[str, object]:
-        """For operators."""
+        """Return the current state for operators."""
         return {
             "held": self.held(now),
-            "needs": self.needs,
-            "of": {home: loan.held for home, loan in self._loans.items() if loan.held},
+            "needs": self.needed,
+            "of": {owner: lease.held for owner, lease in self._leases.items() if lease.held},
         }
--- a/covetally/caps/member.py
+++ b/covetally/caps/member.py
@@ -1,4 +1,8 @@
-"""One sidecar's part in all caps, put together: what is in use in; units, what to close, and words out."""
+"""One sidecar's part in all caps: for each cap a lease holder and an owner, and the messages between members.
+
+The input is the usage of each cap; the output is the number of usable units, events for the balancer and gossip
+messages.
+"""
 
 from __future__ import annotations
 
@@ -6,36 +10,37 @@
 from dataclasses import dataclass, field
 from typing import Any, NamedTuple
 
-from covetally.caps.lease_holder import Ask, Holder
-from covetally.caps.owner import Asked, Grant, Home, Recall
-from covetally.caps.messages import Kind, Say, decode, encode
+from covetally.caps.lease_holder import LeaseHolder, LeaseRequest
+from covetally.caps.messages import CapsMessage, MessageKind, decode, encode
+from covetally.caps.owner import Grant, Owner, Recall, ReceivedRequest
 from covetally.caps.rule import Mode, Rule
 from covetally.interface import SECOND, Allotted
-from covetally.gossip import LatestMessages, Topic, Message, first_sequence
+from covetally.gossip import LatestMessages, Message, Topic, first_sequence
 from covetally.gossip.transport import BROADCAST, Outgoing
 
-LOOK_NS = SECOND // 20
-IDLE_LOOK_NS = SECOND // 4  # where nothing is held, lent or wanted
-QUERY_NS = SECOND
+TICK_NS = SECOND // 20
+IDLE_TICK_NS = SECOND // 4  # between ticks while no unit is held, lent or wanted
+QUERY_INTERVAL_NS = SECOND
 CLIENT, NODE = "client", "node"
-FEW = 4  # members that are asked one by one, not with a word to all
+MAX_SEPARATE_QUERIES = 4  # more members than this are queried by one broadcast
 MS10, MS100 = SECOND // 100, SECOND // 10
-RESTS_NS = SECOND // 2  # a connection rests once it has been without a request for so long
+MIN_IDLE_NS = SECOND // 2  # a connection counts as idle after this time without a request
 
 
-class Use(NamedTuple):
-    """What is used of a cap here: connections open, those wanted besides, how many rest (RESTS_NS or more) and
-    for how long."""
+class Usage(NamedTuple):
+    """Usage of a cap at this sidecar: connections open, those wanted besides, how many of the open ones are idle
+    (for MIN_IDLE_NS or more) and how long the longest of them has been."""
 
     in_use: int = 0
     wanted: int = 0
-    resting: int = 0
-    rested_ns: int = 0
+    idle: int = 0
+    idle_ns: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class Cap:
-    """A cap, and on what: `kind` client or node connections of a tenant, by its number (-1: all unknown ones)."""
+    """A cap on the client or node connections (`kind`) of a tenant, given by its index; -1 stands for all tenants
+    that the platform does not name."""
 
     rule: Rule
     kind: str
@@ -43,175 +48,202 @@
 
 
 @dataclass(slots=True)
-class _Part:
+class _CapState:
     cap: Cap
-    holder: Holder
-    home: Home
-    use: Use = field(default_factory=Use)
-    told: int = -1
+    holder: LeaseHolder
+    owner: Owner
+    usage: Usage = field(default_factory=Usage)
+    notified: int = -1  # usable units and their expiry, as of the last event for the balancer
+
 
+class CapsMember:
+    """All caps at one sidecar, as a gossip participant. Times are in ns on one monotonic clock.
 
-class Caps:
-    """All caps at one member. `look` tells what is in use of a cap. Times in ns on one clock."""
+    `measure` returns the usage of a cap.
+    """
 
     def __init__(
-        self, me: int, life: int, now: int, caps: Iterable[Cap], look: Callable[[int, Cap], Use]
+        self, me: int, incarnation: int, now: int, caps: Iterable[Cap], measure: Callable[[int, Cap], Usage]
     ) -> None:
-        self.me, self.life = me, life
-        self._look = look
-        self._parts: dict[int, _Part] = {}
-        self._heard: LatestMessages[None] = LatestMessages(me, 0)
-        self._number = first_sequence(now)
-        self._queried_at = now - QUERY_NS
+        self.me, self.incarnation = me, incarnation
+        self._measure = measure
+        self._states: dict[int, _CapState] = {}  # by the wire id of the cap
+        self._received: LatestMessages[None] = LatestMessages(me, 0)
+        self._sequence = first_sequence(now)
+        self._queried_at = now - QUERY_INTERVAL_NS
         self._left = False
         self.due = now
-        self.change(now, caps)
-
-    def change(self, now: int, caps: Iterable[Cap]) -> None:
-        """These caps hold from here on."""
-        wanted = {cap.rule.mark: cap for cap in caps}
-        for mark in [mark for mark in self._parts if mark not in wanted]:
-            del self._parts[mark]
-        for mark, cap in wanted.items():
-            part = self._parts.get(mark)
-            if part is None:
-                # Numbers begin at the clock, so that no answer to a life before fits an ask of this one.
+        self.update_caps(now, caps)
+
+    def update_caps(self, now: int, caps: Iterable[Cap]) -> None:
+        """Replace the configured caps; state is kept for those that stay, even if their rule changes."""
+        wanted = {cap.rule.wire_id: cap for cap in caps}
+        for wire_id in [wire_id for wire_id in self._states if wire_id not in wanted]:
+            del self._states[wire_id]
+        for wire_id, cap in wanted.items():
+            state = self._states.get(wire_id)
+            if state is None:
+                # Numbers start at the clock, so that no grant to a previous incarnation answers a new request.
                 first = first_sequence(now)
-                holder, home = Holder(cap.rule, self.me, now, first), Home(cap.rule, self.me, now)
-                self._parts[mark] = _Part(cap, holder, home)
-            elif part.cap != cap:
-                part.cap, part.told = cap, -1
-                part.holder.change(now, cap.rule)
-                part.home.change(now, cap.rule)
+                holder, owner = LeaseHolder(cap.rule, self.me, now, first), Owner(cap.rule, self.me, now)
+                self._states[wire_id] = _CapState(cap, holder, owner)
+            elif state.cap != cap:
+                state.cap, state.notified = cap, -1
+                state.holder.update_rule(now, cap.rule)
+                state.owner.update_rule(now, cap.rule)
         self.due = now
 
-    def held(self, now: int, mark: int) -> int:
-        """Units of a cap that may be used now; a cap that is not there bounds nothing."""
-        part = self._parts.get(mark)
-        return part.holder.usable(now) if part is not None else 2**31
+    def usable(self, now: int, wire_id: int) -> int:
+        """Return how many units of a cap may be used now; without such a cap there is no limit."""
+        state = self._states.get(wire_id)
+        return state.holder.usable(now) if state is not None else 2**31
 
-    # --- words ----------------------------------------------------------------------------------
+    # --- gossip participant ---------------------------------------------------------------------
 
     def tick(self, now: int) -> list[Outgoing]:
-        """Time has passed."""
+        """Measure usage, run the holders and owners, and query silent members; returns the messages to send."""
         if now < self.due or self._left:
             return []
         out: list[Outgoing] = []
         busy = False
-        for part in self._parts.values():
-            part.use = use = self._look(now, part.cap)
-            part.holder.needs = use.in_use + use.wanted
-            out += self._ask(now, part, part.holder.tick(now, use.in_use, use.resting))
-            out += self._answer(now, part, part.home.tick(now))
-            busy = busy or part.holder.needs > 0 or part.holder.held(now) > 0 or part.home.lent > 0
-        if now - self._queried_at >= QUERY_NS:
+        for state in self._states.values():
+            state.usage = usage = self._measure(now, state.cap)
+            state.holder.needed = usage.in_use + usage.wanted
+            out += self._send_requests(now, state, state.holder.tick(now, usage.in_use, usage.idle))
+            out += self._send_answers(now, state, state.owner.tick(now))
+            busy = busy or state.holder.needed > 0 or state.holder.held(now) > 0 or state.owner.lent > 0
+        if now - self._queried_at >= QUERY_INTERVAL_NS:
             self._queried_at = now
-            for mark, part in self._parts.items():
-                if not part.home.units:
+            for wire_id, state in self._states.items():
+                if not state.owner.units:
                     continue
-                unheard = part.home.unheard(now)
-                for member in (BROADCAST,) if len(unheard) > FEW else unheard:
-                    out.append(self._say(member, Say(Kind.QUERY, mark, 0, self.life)))
-        self.due = now + (LOOK_NS if busy else IDLE_LOOK_NS)
+                silent = state.owner.members_to_query(now)
+                for member in (BROADCAST,) if len(silent) > MAX_SEPARATE_QUERIES else silent:
+                    out.append(
+                        self._message(member, CapsMessage(MessageKind.QUERY, wire_id, 0, self.incarnation))
+                    )
+        self.due = now + (TICK_NS if busy else IDLE_TICK_NS)
         return out
 
-    def receive(self, now: int, word: Message) -> list[Outgoing]:
-        """A word of another member; MalformedMessageError if its body is none."""
-        say = decode(word.body)
-        part = self._parts.get(say.mark)
-        if part is None or self._left or word.sender >= part.cap.rule.members:
+    def receive(self, now: int, message: Message) -> list[Outgoing]:
+        """Process a message of another member; raises MalformedMessageError if its body is invalid."""
+        received = decode(message.body)
+        state = self._states.get(received.wire_id)
+        if state is None or self._left or message.sender >= state.cap.rule.members:
             return []
         out: list[Outgoing] = []
-        if say.kind is Kind.ASK:
-            ask = Asked(say.number, say.first, say.second, say.third, say.fourth * MS100)
-            out = self._answer(now, part, part.home.ask(now, word.sender, word.incarnation, ask))
-        elif not self._heard.record(now, word, None) and say.kind is not Kind.GRANT:
+        if received.kind is MessageKind.REQUEST:
+            request = ReceivedRequest(
+                received.number, received.units, received.detail, received.idle, received.idle_time * MS100
+            )
+            out = self._send_answers(
+                now, state, state.owner.handle_request(now, message.sender, message.incarnation, request)
+            )
+        elif not self._received.record(now, message, None) and received.kind is not MessageKind.GRANT:
             return []
-        elif say.kind is Kind.GRANT:
-            pause = say.second * MS10
-            part.holder.granted(now, word.sender, say.number, say.first, pause)
-        elif say.kind is Kind.RECALL:
-            part.use = self._look(now, part.cap)
-            out = self._ask(now, part, self._recalled(now, part, word.sender, say.first, bool(say.second)))
-        elif say.kind is Kind.QUERY:
-            out = self._ask(now, part, part.holder.queried(now, word.sender))
-        if say.kind in (Kind.GRANT, Kind.RECALL):
-            self.due = min(self.due, now + LOOK_NS // 4)
+        elif received.kind is MessageKind.GRANT:
+            retry_delay_ns = received.detail * MS10
+            state.holder.handle_grant(now, message.sender, received.number, received.units, retry_delay_ns)
+        elif received.kind is MessageKind.RECALL:
+            state.usage = self._measure(now, state.cap)
+            out = self._send_requests(
+                now, state,
+                self._handle_recall(now, state, message.sender, received.units, bool(received.detail)),
+            )  # fmt: skip
+        elif received.kind is MessageKind.QUERY:
+            out = self._send_requests(now, state, state.holder.handle_query(now, message.sender))
+        if received.kind in (MessageKind.GRANT, MessageKind.RECALL):
+            self.due = min(self.due, now + TICK_NS // 4)
         return out
 
     def leave(self, now: int) -> list[Outgoing]:
-        """This sidecar ends: what it holds goes back, whatever its own homes lent stays lent."""
+        """Return all units that this sidecar holds, because it stops; what it owns stays lent."""
         out: list[Outgoing] = []
-        for part in self._parts.values():
-            out += self._ask(now, part, part.holder.give_all(now))
+        for state in self._states.values():
+            out += self._send_requests(now, state, state.holder.return_all(now))
         self._left = True
         return out
 
     def events(self, now: int) -> list[Allotted]:
-        """What the balancer is told of connections to nodes: units in place of a part."""
+        """Return the usable units of the caps on node connections, as quotas, where they have changed."""
         out = []
-        for part in self._parts.values():
-            if part.cap.kind != NODE:
+        for state in self._states.values():
+            if state.cap.kind != NODE:
                 continue
-            usable = part.holder.usable(now)
-            until = part.holder.lapses_at(now) or now + 2**62
-            if (usable, until) != part.told:
-                part.told = (usable, until)
-                out.append(Allotted(part.cap.tenant, True, float(usable), until, 0.0))
+            usable = state.holder.usable(now)
+            until = state.holder.expires_at(now) or now + 2**62
+            if (usable, until) != state.notified:
+                state.notified = (usable, until)
+                out.append(Allotted(state.cap.tenant, True, float(usable), until, 0.0))
         return out
 
-    # --- parts ----------------------------------------------------------------------------------
+    # --- internals ------------------------------------------------------------------------------
 
-    def _ask(self, now: int, part: _Part, asks: list[Ask]) -> list[Outgoing]:
+    def _send_requests(self, now: int, state: _CapState, requests: list[LeaseRequest]) -> list[Outgoing]:
+        """Return the messages for a holder's requests; those to the owner in this process are handled at once."""
         out: list[Outgoing] = []
-        use = part.use
-        for ask in asks:
-            if ask.to == self.me:
-                said = Asked(ask.number, ask.held, ask.wants, use.resting, use.rested_ns)
-                out += self._answer(now, part, part.home.ask(now, self.me, self.life, said))
+        usage = state.usage
+        for request in requests:
+            if request.owner == self.me:
+                own = ReceivedRequest(request.number, request.held, request.wanted, usage.idle, usage.idle_ns)
+                out += self._send_answers(
+                    now, state, state.owner.handle_request(now, self.me, self.incarnation, own)
+                )
                 continue
-            figures = (ask.held, ask.wants, use.resting, use.rested_ns // MS100)
-            out.append(self._say(ask.to, Say(Kind.ASK, part.cap.rule.mark, ask.number, 0, *figures)))
+            values = (request.held, request.wanted, usage.idle, usage.idle_ns // MS100)
+            out.append(self._message(request.owner, CapsMessage(
+                MessageKind.REQUEST, state.cap.rule.wire_id, request.number, 0, *values
+            )))  # fmt: skip
         return out
 
-    def _recalled(self, now: int, part: _Part, home: int, count: int, busy: bool) -> list[Ask]:
-        # What the home was told of what rests may be old: what is in use stays, unless the cap itself wants it.
-        use = part.use
-        return part.holder.recalled(now, home, count, use.in_use, use.in_use if busy else use.resting)
+    def _handle_recall(
+        self, now: int, state: _CapState, owner: int, count: int, busy: bool
+    ) -> list[LeaseRequest]:
+        # The owner's view of what is idle may be out of date: units in use stay, unless a lowered cap wants them.
+        usage = state.usage
+        return state.holder.handle_recall(now, owner, count, usage.in_use, usage.in_use if busy else usage.idle)
 
-    def _answer(self, now: int, part: _Part, answers: list[Grant | Recall]) -> list[Outgoing]:
+    def _send_answers(self, now: int, state: _CapState, answers: list[Grant | Recall]) -> list[Outgoing]:
+        """Return the messages for an owner's answers; those to the holder in this process are handled at once."""
         out: list[Outgoing] = []
-        mark = part.cap.rule.mark
+        wire_id = state.cap.rule.wire_id
         for answer in answers:
             if isinstance(answer, Grant):
-                if answer.to == self.me:
-                    part.holder.granted(now, self.me, answer.number, answer.lent, answer.pause_ns)
+                if answer.holder == self.me:
+                    state.holder.handle_grant(now, self.me, answer.number, answer.lent, answer.retry_delay_ns)
                 else:
-                    figures = (answer.lent, answer.pause_ns // MS10)
-                    out.append(self._say(answer.to, Say(Kind.GRANT, mark, answer.number, self.life, *figures)))
-            elif answer.to == self.me:
-                out += self._ask(now, part, self._recalled(now, part, self.me, answer.count, answer.busy))
+                    values = (answer.lent, answer.retry_delay_ns // MS10)
+                    out.append(self._message(answer.holder, CapsMessage(
+                        MessageKind.GRANT, wire_id, answer.number, self.incarnation, *values
+                    )))  # fmt: skip
+            elif answer.holder == self.me:
+                out += self._send_requests(
+                    now, state, self._handle_recall(now, state, self.me, answer.count, answer.busy)
+                )
             else:
-                out.append(self._say(answer.to, Say(Kind.RECALL, mark, 0, self.life, answer.count, answer.busy)))
+                out.append(self._message(answer.holder, CapsMessage(
+                    MessageKind.RECALL, wire_id, 0, self.incarnation, answer.count, answer.busy
+                )))  # fmt: skip
         return out
 
-    def _say(self, to: int, say: Say) -> Outgoing:
-        self._number += 1
-        return Outgoing(to, Message(Topic.CAPS, self.me, self.life, self._number, encode(say)))
+    def _message(self, to: int, body: CapsMessage) -> Outgoing:
+        self._sequence += 1
+        return Outgoing(to, Message(Topic.CAPS, self.me, self.incarnation, self._sequence, encode(body)))
 
     def table(self, now: int) -> dict[str, Any]:
-        """For operators."""
+        """Return the current state of all caps for operators."""
         return {
-            part.cap.rule.name: {
-                "cap": part.cap.rule.amount, "mode": part.cap.rule.mode.value, "usable": part.holder.usable(now),
-                "in_use": part.use.in_use, "wanted": part.use.wanted, "resting": part.use.resting,
-                "holder": part.holder.table(now), "home": part.home.table(now) if part.home.units else {},
+            state.cap.rule.name: {
+                "cap": state.cap.rule.amount, "mode": state.cap.rule.mode.value,
+                "usable": state.holder.usable(now), "in_use": state.usage.in_use,
+                "wanted": state.usage.wanted, "resting": state.usage.idle,
+                "holder": state.holder.table(now), "home": state.owner.table(now) if state.owner.units else {},
             }
-            for part in self._parts.values()
+            for state in self._states.values()
         }  # fmt: skip
 
 
-def bound(rule: Rule, held_by_stopped: int) -> int:
-    """The most connections that may be open at any moment: what the cap says, and in LAPSES mode what stopped
-    members held when they were stopped."""
+def max_open(rule: Rule, held_by_stopped: int) -> int:
+    """Return the most connections that may be open at any moment: the cap, and in LAPSES mode also those that
+    stopped members held when they were stopped."""
     return rule.amount + (held_by_stopped if rule.mode is Mode.LAPSES else 0)
--- a/covetally/caps/owner.py
+++ b/covetally/caps/owner.py
@@ -1,18 +1,24 @@
-"""The home of some units of a cap: to whom they are lent, by whom they are wanted. No I/O; ns on its own clock.
-
-    it hears                          it does
-    --------                          -------
-    ask, newer than the last one      takes `held` for what that holder has: any grant before it is void there;
-    lends of that life                      more if there is any, and answers in any case an older ask
-    nothing a word of another life            what the life before held is free: its sockets ended with its
-    process nothing of a holder               LAPSES: frees what it lent one fence after the last grant; NEVER:
-    keeps it lent its own start                     LAPSES: lends nothing for one fence; NEVER: until all others
-    have said what they hold. Who holds something renews it meanwhile its cap lowered                   asks
-    back what is lent beyond it, what rests longest first
-
-Units that come free go to who has waited longest. Where nothing is free and somebody waits, the holder whose
-connections rest longest is asked for one. Askers are told when to ask again, so that all of them together ask
-ASKS_PER_S times a second at most, however many they are.
+"""The owner of some units of a cap: lends them to lease holders and queues those that want more. No I/O.
+
+    event                        action
+    -----                        ------
+    request that is newer than   takes `held` as what the holder has, since any earlier grant is void there; lends
+    the last one of its          more if units are free; always answers with a grant
+    incarnation
+    older or repeated request,   ignores it
+    or one of an older incarnation
+    request of a newer           considers what the previous incarnation held as free: its sockets ended with its
+    incarnation                  process
+    nothing from a holder        LAPSES: takes back what it lent one fence after the last grant; NEVER: the units
+                                 stay lent, and the holder is queried
+    own start, or units that     LAPSES: lends nothing for one fence; NEVER: lends nothing until all other
+    it did not own before        members have reported what they hold; holders still renew what they hold
+    cap lowered                  recalls what is lent beyond it, from the longest idle holder first
+
+Free units go to the holder that has waited longest. If nothing is free while somebody waits, units are recalled
+from the holders whose connections have been idle longest. Grants tell holders when to ask again, so that all of
+them together send at most REQUESTS_PER_S requests a second, whatever their number. Times are in ns on the
+sidecar's own clock.
 """
 
 from __future__ import annotations
@@ -24,187 +30,200 @@
 from covetally.interface import SECOND
 from covetally.gossip import is_newer_incarnation
 
-ASKS_PER_S = 40.0
-FIRST_PAUSE_NS = SECOND // 4
-RECALL_NS = SECOND // 10  # between two recalls to one holder
-WAITS_NS = 2 * SECOND  # an ask that was not met counts so long
+REQUESTS_PER_S = 40.0
+MIN_RETRY_DELAY_NS = SECOND // 4
+RECALL_INTERVAL_NS = SECOND // 10  # between two recalls to one holder
+WAIT_TIMEOUT_NS = 2 * SECOND  # how long a holder stays in the queue after its last request
 
 
 class Grant(NamedTuple):
-    """For a holder: `lent` in all, as of its ask with this number; who wants more asks again after `pause_ns`."""
+    """Answer to request `number`: `lent` units in all; more may be requested after `retry_delay_ns`."""
 
-    to: int
+    holder: int
     number: int
     lent: int
-    pause_ns: int
+    retry_delay_ns: int
 
 
 class Recall(NamedTuple):
-    """To a holder: give so many back, resting ones first, and `busy` ones too where it has to be."""
+    """Asks a holder to return `count` units, idle ones first; `busy` includes units in use if need be."""
 
-    to: int
+    holder: int
     count: int
     busy: bool = False
 
 
-class Asked(NamedTuple):
-    """What a holder says: its ask's number, units held of this home, wanted besides, and how many connections
-    rest for how long."""
+class ReceivedRequest(NamedTuple):
+    """A lease holder's request: its number, the units held of this owner and those wanted besides, and how many
+    connections are idle and for how long the longest of them has been."""
 
     number: int
     held: int
-    wants: int
-    resting: int = 0
-    rested_ns: int = 0
+    wanted: int
+    idle: int = 0
+    idle_ns: int = 0
 
 
 @dataclass(slots=True)
 class _Holder:
-    """What one life of one member has of this home."""
+    """What one incarnation of a member holds and wants of this owner, as of its last request."""
 
-    life: int
+    incarnation: int
     number: int = -1
     lent: int = 0
-    until: int = 0
-    wants: int = 0
-    asked: int = 0
-    resting: int = 0
-    rested_ns: int = 0
-    recalled: int = 0
+    expires_at: int = 0
+    wanted: int = 0
+    requested_at: int = 0
+    idle: int = 0
+    idle_ns: int = 0
+    recalled_at: int = 0
 
 
-class Home:
-    """Some units' home."""
+class Owner:
+    """Lends the units of one cap that this member owns."""
 
     def __init__(self, rule: Rule, me: int, now: int) -> None:
         self.me, self.rule = me, rule
-        self.units = rule.units(me)
-        self.twins = 0  # asks of a life that another had followed, or of a second process with that number
+        self.units = rule.owned_units(me)
+        self.superseded = 0  # requests of an incarnation that a newer one replaced, or of a second process
         self._holders: dict[int, _Holder] = {}
-        self._free_from = now + rule.fence_ns
-        self._unheard = set(range(rule.members)) - {me} if rule.mode is Mode.NEVER else set()
+        self._fenced_until = now + rule.fence_ns
+        self._unreported = set(range(rule.members)) - {me} if rule.mode is Mode.NEVER else set()
 
-    def change(self, now: int, rule: Rule) -> None:
-        """The cap, or the list of members, is another. Units that were not at home here before are as after a
-        start: whoever had them may still have lent them."""
-        more = rule.units(self.me) > self.units and rule.members != self.rule.members
+    def update_rule(self, now: int, rule: Rule) -> None:
+        """Apply a changed cap or list of members.
+
+        Units that this member did not own before are fenced as after a start: their previous owner may still have
+        lent them.
+        """
+        more = rule.owned_units(self.me) > self.units and rule.members != self.rule.members
         if more or rule.mode is not self.rule.mode:
-            self._free_from = now + rule.fence_ns
-            self._unheard = set(range(rule.members)) - {self.me} if rule.mode is Mode.NEVER else set()
-        self._unheard = {member for member in self._unheard if member < rule.members}
-        self.rule, self.units = rule, rule.units(self.me)
+            self._fenced_until = now + rule.fence_ns
+            self._unreported = set(range(rule.members)) - {self.me} if rule.mode is Mode.NEVER else set()
+        self._unreported = {member for member in self._unreported if member < rule.members}
+        self.rule, self.units = rule, rule.owned_units(self.me)
 
     @property
     def lent(self) -> int:
-        """Units that somebody has, or may have."""
+        """Units that holders have, or may have."""
         return sum(holder.lent for holder in self._holders.values())
 
     def free(self, now: int) -> int:
-        """Units that may be lent now."""
-        if self._unheard or (self.rule.mode is Mode.LAPSES and now < self._free_from):
+        """Return how many units may be lent now; negative if a lowered cap is exceeded."""
+        if self._unreported or (self.rule.mode is Mode.LAPSES and now < self._fenced_until):
             return 0
         return self.units - self.lent
 
-    def ask(self, now: int, sender: int, life: int, ask: Asked) -> list[Grant | Recall]:
-        """A holder's ask; see the table."""
-        number, held, wants, resting, rested_ns = ask
-        holder = self._of(now, sender, life, number)
+    def handle_request(
+        self, now: int, sender: int, incarnation: int, request: ReceivedRequest
+    ) -> list[Grant | Recall]:
+        """Process a holder's request; the table above says what it does."""
+        number, held, wanted, idle, idle_ns = request
+        holder = self._find_holder(now, sender, incarnation, number)
         if holder is None or number <= holder.number:
             return []
-        holder.number, holder.asked = number, now
-        holder.wants, holder.resting, holder.rested_ns = wants, resting, rested_ns
-        self._unheard.discard(sender)
-        if self.rule.mode is Mode.LAPSES and now >= self._free_from and held > holder.lent:
-            # It lapsed here and may have been lent again: what it says it has it may not have any more.
+        holder.number, holder.requested_at = number, now
+        holder.wanted, holder.idle, holder.idle_ns = wanted, idle, idle_ns
+        self._unreported.discard(sender)
+        if self.rule.mode is Mode.LAPSES and now >= self._fenced_until and held > holder.lent:
+            # The lease lapsed here and the units may have been lent again: the holder may not keep all of them.
             held = max(holder.lent, min(held, holder.lent + max(0, self.free(now))))
         holder.lent = held
         out: list[Grant | Recall] = [self._grant(now, sender, holder)]
-        return out + self._share(now, besides=sender)
+        return out + self._serve_queue(now, exclude=sender)
 
     def tick(self, now: int) -> list[Grant | Recall]:
-        """Time has passed."""
+        """Expire leases, lend free units to holders that wait, and recall what exceeds the cap."""
         if self.rule.mode is Mode.LAPSES:
             for member, holder in self._holders.items():
-                if holder.lent and now >= holder.until and member != self.me:
+                if holder.lent and now >= holder.expires_at and member != self.me:
                     holder.lent = 0
-        return self._share(now) + self._excess(now)
+        return self._serve_queue(now) + self._recall_excess(now)
+
+    def members_to_query(self, now: int) -> tuple[int, ...]:
+        """Return the members that have to be asked what they hold of this owner; none in LAPSES mode.
 
-    def unheard(self, now: int) -> tuple[int, ...]:
-        """Members to be asked what they hold of this home: of whom nothing was heard since a start, and holders
-        that are silent: another life of one knows nothing of what the one before held."""
+        These are members that have not reported since this owner started, and holders that have been silent for a
+        lease: a new incarnation of a holder does not know what its predecessor held.
+        """
         if self.rule.mode is Mode.LAPSES:
             return ()
-        silent = (m for m, h in self._holders.items() if h.lent and now - h.asked >= self.rule.lease_ns)
-        return (*self._unheard, *(member for member in silent if member != self.me))
+        silent = (m for m, h in self._holders.items() if h.lent and now - h.requested_at >= self.rule.lease_ns)
+        return (*self._unreported, *(member for member in silent if member != self.me))
 
-    # --- parts ----------------------------------------------------------------------------------
+    # --- internals ------------------------------------------------------------------------------
 
-    def _of(self, now: int, sender: int, life: int, number: int) -> _Holder | None:
-        """The holder of this life; None if another one is newer."""
+    def _find_holder(self, now: int, sender: int, incarnation: int, number: int) -> _Holder | None:
+        """Return the holder of this incarnation, new if need be; None if a known incarnation is newer."""
         holder = self._holders.get(sender)
-        if holder is None or holder.life != life:
-            if holder is not None and not is_newer_incarnation(number, holder.number, now - holder.asked):
-                self.twins += 1
+        if holder is None or holder.incarnation != incarnation:
+            if holder is not None and not is_newer_incarnation(number, holder.number, now - holder.requested_at):
+                self.superseded += 1
                 return None
-            holder = self._holders[sender] = _Holder(life)
+            holder = self._holders[sender] = _Holder(incarnation)
         return holder
 
     def _grant(self, now: int, sender: int, holder: _Holder) -> Grant:
-        give = max(0, min(holder.wants, self.free(now)))
-        holder.lent += give
-        holder.wants -= give
-        holder.until = now + self.rule.fence_ns
-        return Grant(sender, holder.number, holder.lent, self._pause(now))
-
-    def _pause(self, now: int) -> int:
-        waiting = sum(1 for h in self._holders.values() if h.wants and now - h.asked < WAITS_NS)
-        return max(FIRST_PAUSE_NS, int(waiting / ASKS_PER_S * SECOND))
-
-    def _share(self, now: int, besides: int = -1) -> list[Grant | Recall]:
-        """What is free to who waits; where nothing is, one that rests is asked back."""
+        granted = max(0, min(holder.wanted, self.free(now)))
+        holder.lent += granted
+        holder.wanted -= granted
+        holder.expires_at = now + self.rule.fence_ns
+        return Grant(sender, holder.number, holder.lent, self._retry_delay(now))
+
+    def _retry_delay(self, now: int) -> int:
+        waiting = sum(1 for h in self._holders.values() if h.wanted and now - h.requested_at < WAIT_TIMEOUT_NS)
+        return max(MIN_RETRY_DELAY_NS, int(waiting / REQUESTS_PER_S * SECOND))
+
+    def _serve_queue(self, now: int, exclude: int = -1) -> list[Grant | Recall]:
+        """Lend free units to waiting holders, the longest wait first; recall idle units if none are free."""
         waiting = [
-            (holder.asked, member, holder) for member, holder in self._holders.items()
-            if holder.wants and member != besides and now - holder.asked < WAITS_NS
+            (holder.requested_at, member, holder) for member, holder in self._holders.items()
+            if holder.wanted and member != exclude and now - holder.requested_at < WAIT_TIMEOUT_NS
         ]  # fmt: skip
         out: list[Grant | Recall] = []
-        for _, member, holder in sorted(waiting, key=lambda w: w[:2]):
+        for _, member, holder in sorted(waiting, key=lambda entry: entry[:2]):
             if self.free(now) <= 0:
                 break
             out.append(self._grant(now, member, holder))
-        short = sum(h.wants for h in self._holders.values() if h.wants and now - h.asked < WAITS_NS)
-        if short and self.free(now) <= 0:
-            out += self._call_back(now, short, resting=True)
+        missing = sum(
+            h.wanted for h in self._holders.values() if h.wanted and now - h.requested_at < WAIT_TIMEOUT_NS
+        )
+        if missing and self.free(now) <= 0:
+            out += self._recall(now, missing, only_idle=True)
         return out
 
-    def _excess(self, now: int) -> list[Grant | Recall]:
-        over = self.lent - self.units
-        return self._call_back(now, over, resting=False) if over > 0 else []
+    def _recall_excess(self, now: int) -> list[Grant | Recall]:
+        excess = self.lent - self.units
+        return self._recall(now, excess, only_idle=False) if excess > 0 else []
 
-    def _call_back(self, now: int, count: int, resting: bool) -> list[Grant | Recall]:
-        """Ask holders back, those whose connections rest longest first; busy ones only where they are `not
-        resting` only."""
+    def _recall(self, now: int, count: int, only_idle: bool) -> list[Grant | Recall]:
+        """Recall up to `count` units, the longest idle first; units in use too unless `only_idle`."""
         out: list[Grant | Recall] = []
         holders = [
-            (holder.rested_ns if holder.resting else -1, member, holder)
+            (holder.idle_ns if holder.idle else -1, member, holder)
             for member, holder in self._holders.items()
-            if holder.lent and (holder.resting or not resting) and now - holder.recalled >= RECALL_NS
+            if holder.lent and (holder.idle or not only_idle) and now - holder.recalled_at >= RECALL_INTERVAL_NS
         ]  # fmt: skip
-        for _, member, holder in sorted(holders, key=lambda h: (-h[0], h[1])):
+        for _, member, holder in sorted(holders, key=lambda entry: (-entry[0], entry[1])):
             if count <= 0:
                 break
-            back = min(count, holder.resting if resting else holder.lent)
-            holder.recalled = now
-            count -= back
-            out.append(Recall(member, back, not resting))
+            recalled = min(count, holder.idle if only_idle else holder.lent)
+            holder.recalled_at = now
+            count -= recalled
+            out.append(Recall(member, recalled, not only_idle))
         return out
 
     def table(self, now: int) -> dict[str, object]:
-        """For operators."""
+        """Return the current state for operators."""
         return {
             "units": self.units, "lent": self.lent, "free": max(0, self.free(now)),
             "to": {member: holder.lent for member, holder in self._holders.items() if holder.lent},
-            "waiting": sum(1 for h in self._holders.values() if h.wants and now - h.asked < WAITS_NS),
-            "waits_for": sorted(self._unheard)[:8],
-            "fence_s": round(max(0, self._free_from - now) / SECOND, 1) if self.rule.mode is Mode.LAPSES else 0.0,
-            "twins": self.twins,
+            "waiting": sum(
+                1 for h in self._holders.values() if h.wanted and now - h.requested_at < WAIT_TIMEOUT_NS
+            ),
+            "waits_for": sorted(self._unreported)[:8],
+            "fence_s": (
+                round(max(0, self._fenced_until - now) / SECOND, 1) if self.rule.mode is Mode.LAPSES else 0.0
+            ),
+            "twins": self.superseded,
         }  # fmt: skip
--- a/covetally/caps/rule.py
+++ b/covetally/caps/rule.py
@@ -1,9 +1,9 @@
-"""A cap as configured, and where its units have their homes: by names, the same at every sidecar, without a word.
+"""A configured cap, and which sidecars own its units: computed from names alone, the same at every sidecar.
 
-The homes of a cap are HOMES of the listed sidecars, those that rendezvous hashing (Thaler and Ravishankar 1998)
-ranks highest for its name, and each has an even part of the units. Few homes, so that who wants units has few
-to ask whatever the fleet's size. A home does not move when its sidecar is gone: nobody can tell a sidecar that
-has ended from one that is cut off, and a second home would lend the same units again.
+The units of a cap are owned by those MAX_OWNERS of the listed sidecars that rendezvous hashing (Thaler and
+Ravishankar 1998) ranks highest for its name, in equal parts. There are few owners so that a sidecar that wants
+units has few to ask, whatever the size of the fleet. Ownership does not move when an owner is down: a sidecar
+that has ended cannot be told from one that is cut off, and a second owner would lend the same units again.
 """
 
 from __future__ import annotations
@@ -16,21 +16,23 @@
 
 from covetally.interface import SECOND
 
-HOMES = 16
-DRIFT = 0.01  # by so much at most a clock runs faster or slower than another
+MAX_OWNERS = 16
+MAX_CLOCK_DRIFT = 0.01  # a clock runs faster or slower than another by at most this fraction
 
 
 class Mode(enum.Enum):
-    """When a unit whose holder is silent is lent again."""
+    """When an owner may lend a unit again whose lease holder is silent."""
 
-    LAPSES = "lapses"  # after its lease: over by what stopped sidecars hold, at most
-    NEVER = "never"  # once its holder has given it back, or another life of it has spoken: never over
+    LAPSES = "lapses"  # once the lease has lapsed: the cap is exceeded by at most what stopped sidecars hold
+    NEVER = "never"  # once the holder has returned it or has restarted: the cap is never exceeded
 
 
 @dataclass(frozen=True, slots=True)
 class Rule:
-    """`amount` units over `members` sidecars. `linger_ns` is the longest that a request still runs on a
-    connection whose unit has lapsed."""
+    """A cap of `amount` units over `members` sidecars.
+
+    `linger_ns` is the longest time that a request may still run on a connection whose unit has lapsed.
+    """
 
     name: str
     amount: int
@@ -40,36 +42,36 @@
     linger_ns: int = 4 * SECOND
 
     @property
-    def mark(self) -> int:
-        """Names it on the wire."""
+    def wire_id(self) -> int:
+        """The number that identifies the cap in messages."""
         return crc32(self.name.encode())
 
     @property
     def fence_ns(self) -> int:
-        """How long a home leaves alone what it lent, after it last granted it."""
-        return math.ceil(self.lease_ns * (1.0 + DRIFT)) + self.linger_ns
+        """How long after the last grant an owner may not lend the same units to anybody else."""
+        return math.ceil(self.lease_ns * (1.0 + MAX_CLOCK_DRIFT)) + self.linger_ns
 
-    def homes(self) -> tuple[int, ...]:
-        """The sidecars that have units of it, by number."""
-        return homes(self.name, self.members)[: max(0, min(self.amount, HOMES))]
+    def owners(self) -> tuple[int, ...]:
+        """Return the indexes of the sidecars that own units of this cap."""
+        return rank_owners(self.name, self.members)[: max(0, min(self.amount, MAX_OWNERS))]
 
-    def units(self, member: int) -> int:
-        """How many of the units have their home there."""
-        found = self.homes()
-        if member not in found:
+    def owned_units(self, member: int) -> int:
+        """Return how many units `member` owns."""
+        owners = self.owners()
+        if member not in owners:
             return 0
-        part, rest = divmod(self.amount, len(found))
-        return part + (found.index(member) < rest)
+        part, rest = divmod(self.amount, len(owners))
+        return part + (owners.index(member) < rest)
 
 
 @lru_cache(maxsize=256)
-def homes(name: str, members: int) -> tuple[int, ...]:
-    """The first HOMES of so many members, by the hash of both names."""
+def rank_owners(name: str, members: int) -> tuple[int, ...]:
+    """Return the MAX_OWNERS members that rank highest by the hash of the cap's name and their index."""
     ranked = sorted(range(members), key=lambda member: (-_weight(name, member), member))
-    return tuple(ranked[:HOMES])
+    return tuple(ranked[:MAX_OWNERS])
 
 
 def _weight(name: str, member: int) -> int:
     mixed = crc32(f"{name}/{member}".encode())
     mixed ^= mixed >> 16
-    return mixed * 0x45D9F3B % 2**32  # CRC-32 is linear: without this, neighbours would rank alike
+    return mixed * 0x45D9F3B % 2**32  # CRC-32 is linear: without this step, adjacent members would rank alike
--- a/covetally/caps/settings.py
+++ b/covetally/caps/settings.py
@@ -1,4 +1,4 @@
-"""What the operators' file makes of caps."""
+"""Builds the caps from the operators' file and the platform's settings."""
 
 from __future__ import annotations
 
@@ -11,13 +11,14 @@
 from covetally.operator.check import OperatorError, Problem
 from covetally.operator.schema import CAPS_CLIENT, CAPS_NODE, IN_FLIGHT, RATE, Value
 
-UNKNOWN, NOBODY = "unknown-workshops", -1  # whoever the platform does not name, together
-SPARE_NS = SECOND  # past a class's deadline: its last request is answered
+# The name and index of all tenants together that the platform does not name.
+UNKNOWN_TENANTS, UNKNOWN_TENANT_INDEX = "unknown-workshops", -1
+RESPONSE_MARGIN_NS = SECOND  # after a class's deadline, until its last request has been answered
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """How a sidecar takes part."""
+    """The caps, and this sidecar's index `me` among `size` peers."""
 
     me: int
     size: int
@@ -25,20 +26,24 @@
 
 
 def plan(settings: Settings, peers: int, values: Mapping[str, Value]) -> Plan:
-    """The plan for a sidecar of `peers`; OperatorError where a cap could not hold."""
+    """Return the plan for a sidecar of `peers`; raises OperatorError if a cap could not be enforced."""
     problems = []
     if not 0 <= settings.index < peers:
-        reason = f"this sidecar's number is {settings.index}, and {peers} are listed"
+        reason = f"the index of this sidecar is {settings.index}, but {peers} peers are listed"
         problems.append(Problem("peers", peers, reason, "list every sidecar of the tier, in order"))
     if values.get("workers.count", 1) != 1:
-        reason = "a cap is one process's to keep: each worker would use all of this sidecar's units"
-        problems.append(Problem("workers.count", values["workers.count"], reason, "1, or no caps"))
-    tenants = {tenant.name: number for number, tenant in enumerate(settings.tenants)} | {UNKNOWN: NOBODY}
+        reason = "caps work with one process only: each worker would use all units of this sidecar"
+        problems.append(
+            Problem("workers.count", values["workers.count"], reason, "set it to 1, or drop the caps")
+        )
+    tenants = {tenant.name: index for index, tenant in enumerate(settings.tenants)} | {
+        UNKNOWN_TENANTS: UNKNOWN_TENANT_INDEX
+    }
     mode = Mode(str(values.get("caps.mode", Mode.LAPSES.value)))
     lease_ns = int(float(values.get("caps.lease_s", 4)) * SECOND)
-    linger_ns = max(c.deadline_ns for c in settings.classes) + SPARE_NS
+    linger_ns = max(c.deadline_ns for c in settings.classes) + RESPONSE_MARGIN_NS
     caps = []
-    held = sorted(name for name in values if name.startswith((RATE, IN_FLIGHT)))
+    tier_limits = sorted(name for name in values if name.startswith((RATE, IN_FLIGHT)))
     for name, value in sorted(values.items()):
         kind, prefix = (CLIENT, CAPS_CLIENT) if name.startswith(CAPS_CLIENT) else (NODE, CAPS_NODE)
         if not name.startswith(prefix):
@@ -46,10 +51,10 @@
         tenant = name.removeprefix(prefix)
         if tenant not in tenants:
             known = ", ".join(sorted(tenants))
-            problems.append(Problem(name, value, "the platform names no such workshop", f"it names {known}"))
-        elif kind == NODE and held:
-            reason = f"calls are counted once, and {held[0]} counts them"
-            problems.append(Problem(name, value, reason, "caps.node or the tier's limits, not both"))
+            problems.append(Problem(name, value, "the platform names no such tenant", f"it names {known}"))
+        elif kind == NODE and tier_limits:
+            reason = f"calls are counted once, and {tier_limits[0]} counts them already"
+            problems.append(Problem(name, value, reason, "use caps.node or the tier's limits, not both"))
         else:
             rule = Rule(name, int(value), peers, mode, lease_ns, linger_ns)
             caps.append(Cap(rule, kind, tenants[tenant]))
--- a/covetally/lab/caps.py
+++ b/covetally/lab/caps.py
@@ -13,8 +13,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from covetally.caps import Cap, Caps, Rule
-from covetally.caps.member import NODE, RESTS_NS, Use, bound
+from covetally.caps import Cap, CapsMember, Rule
+from covetally.caps.member import NODE, MIN_IDLE_NS, Usage, max_open
 from covetally.interface import SECOND
 from covetally.rig.schedule import WELL, Link, Schedule, Step
 from covetally.gossip import Topic, Message, decode, encode
@@ -31,7 +31,7 @@
         self.open = 0
         self.idle_since = 0
         self.stopped = False
-        self.caps: Caps
+        self.caps: CapsMember
 
     def clock(self, now: int) -> int:
         """Its own, an hour apart from others' and a little fast or slow."""
@@ -76,15 +76,17 @@
         member.wanted = old.wanted if old else 0
         cap = Cap(self.rule, NODE, 0)
         now = member.clock(self.now)
-        member.caps = Caps(number, member.life, now, [cap], lambda _, cap: self._use(member))
+        member.caps = CapsMember(number, member.life, now, [cap], lambda _, cap: self._use(member))
         self._after(rng.randrange(50 * MS), self._tick, member)
         return member
 
-    def _use(self, member: _Member) -> Use:
+    def _use(self, member: _Member) -> Usage:
         wanted = max(0, member.wanted - member.open)
         resting = max(0, member.open - member.wanted)
         rested = self.now - member.idle_since
-        return Use(member.open, wanted, resting, rested) if rested >= RESTS_NS else Use(member.open, wanted)
+        return (
+            Usage(member.open, wanted, resting, rested) if rested >= MIN_IDLE_NS else Usage(member.open, wanted)
+        )
 
     def _after(self, delay: int, call: Callable[..., None], *arguments: object) -> None:
         self._count += 1
@@ -100,7 +102,7 @@
 
     def _adjust(self, member: _Member) -> None:
         """Close what it may not have before it opens anything new."""
-        usable = member.caps.held(member.clock(self.now), self.rule.mark)
+        usable = member.caps.usable(member.clock(self.now), self.rule.wire_id)
         member.open = min(member.open, usable)
         if member.wanted >= member.open:
             member.idle_since = self.now
@@ -169,7 +171,7 @@
     def _dead(self, old: _Member) -> _Member:
         dead = _Member(old.number, 0, old.drift, old.offset)
         dead.wanted, dead.stopped = old.wanted, True
-        dead.caps = Caps(old.number, 0, 0, [], lambda _, cap: Use())
+        dead.caps = CapsMember(old.number, 0, 0, [], lambda _, cap: Usage())
         return dead
 
     # --- what is seen ---------------------------------------------------------------------------
@@ -178,7 +180,7 @@
         found, rule = self.found, self.rule
         open_ = sum(m.open for m in self.members)
         stopped = sum(m.open for m in self.members if m.stopped)
-        allowed = bound(rule, stopped)
+        allowed = max_open(rule, stopped)
         if open_ - allowed > found.over:
             found.over, found.at_s = open_ - allowed, self.now / SECOND
         wanted = sum(m.wanted for m in self.members if not m.stopped)
--- a/covetally/shared_decisions.py
+++ b/covetally/shared_decisions.py
@@ -1,5 +1,8 @@
-"""What one sidecar decides together with all others by words: the overload line, tenants' connection caps. Put
-together from the configuration; imported only where operators ask for it."""
+"""What a sidecar decides together with all others by gossip: overload control and connection caps of tenants.
+
+Builds both parts from the configuration and connects them to the sidecar. It is imported only if operators enable
+one of them.
+"""
 
 from __future__ import annotations
 
@@ -8,9 +11,9 @@
 from collections.abc import Callable
 from typing import Any
 
-from covetally.caps import Cap, Caps
-from covetally.caps.connection_limiter import Gate
-from covetally.caps.member import CLIENT, NODE, Use
+from covetally.caps import Cap, CapsMember
+from covetally.caps.connection_limiter import ConnectionLimiter
+from covetally.caps.member import CLIENT, NODE, Usage
 from covetally.caps.settings import Plan as CapsPlan
 from covetally.configuration import Configuration
 from covetally.interface import Allotted, Event, Settings
@@ -20,145 +23,153 @@
 from covetally.overload.ladder import name as rung_name
 from covetally.overload.member import Member
 from covetally.overload.pins import parse
-from covetally.overload.settings import Plan as LinePlan
+from covetally.overload.settings import Plan as OverloadPlan
 from covetally.gossip import Topic
-from covetally.gossip.transport import TransportCallbacks, GossipTransport, Participant
+from covetally.gossip.transport import GossipTransport, Participant, TransportCallbacks
 
 log = logging.getLogger("covetally")
 
 
 class SharedDecisions:
-    """The parts that speak, for as long as they are wanted."""
+    """Starts, reconfigures and stops the gossip participants of this sidecar as the configuration asks."""
 
     def __init__(
         self, clock: Clock, send: Callable[[int, bytes], None], sidecar: Sidecar, frontend: Frontend
     ) -> None:
         self._clock, self._send, self._sidecar, self._frontend = clock, send, sidecar, frontend
-        self._life = secrets.randbits(32)
-        self._line: Member | None = None
-        self._caps: Caps | None = None
-        self._gate: Gate | None = None
-        self._marks: dict[int, int] = {}  # by tenant: the mark of its cap on client connections
-        self._nodes: set[int] = set()  # tenants with a cap on connections to nodes
+        self._incarnation = secrets.randbits(32)
+        self._overload: Member | None = None
+        self._caps: CapsMember | None = None
+        self._connection_limiter: ConnectionLimiter | None = None
+        self._client_caps: dict[int, int] = {}  # by tenant: the wire id of its cap on client connections
+        self._node_capped: set[int] = set()  # tenants with a cap on connections to nodes
         self._pin = ""
-        self._rung = 0
-        self.shell: GossipTransport | None = None
+        self._logged_rung = 0
+        self.transport: GossipTransport | None = None
 
     def apply_configuration(self, configuration: Configuration) -> None:
-        """Take part as is wanted now."""
+        """Start, change or stop the participants to match the configuration."""
         now = self._clock.now()
-        speakers: dict[Topic, Participant] = {}
+        participants: dict[Topic, Participant] = {}
         if (plan := configuration.overload) is not None:
-            speakers[Topic.OVERLOAD] = self._with_line(now, plan, configuration.config.settings)
-        elif self._line is not None:
-            self._line = self._sidecar.watcher = None
+            participants[Topic.OVERLOAD] = self._configure_overload(now, plan, configuration.config.settings)
+        elif self._overload is not None:
+            self._overload = self._sidecar.watcher = None
             self._pin = ""
         if (caps := configuration.caps) is not None:
-            speakers[Topic.CAPS] = self._with_caps(now, caps, configuration.config.settings)
+            participants[Topic.CAPS] = self._configure_caps(now, caps, configuration.config.settings)
         elif self._caps is not None:
-            self._without_caps(now)
-        if self.shell is not None and set(self.shell.participants) != set(speakers):
-            self.shell.stop(leave=False)
-            self.shell = None
-        if speakers and self.shell is None:
-            self.shell = GossipTransport(TransportCallbacks(self._clock.now, self._send, self._advise), speakers)
-            self.shell.start()
-        elif self.shell is not None:
-            self.shell.tick_now()
-
-    # --- the line -------------------------------------------------------------------------------
-
-    def _with_line(self, now: int, plan: LinePlan, settings: Settings) -> Member:
-        line = self._line
-        if line is None:
+            self._remove_caps(now)
+        if self.transport is not None and set(self.transport.participants) != set(participants):
+            self.transport.stop(leave=False)
+            self.transport = None
+        if participants and self.transport is None:
+            self.transport = GossipTransport(
+                TransportCallbacks(self._clock.now, self._send, self._apply_event), participants
+            )
+            self.transport.start()
+        elif self.transport is not None:
+            self.transport.tick_now()
+
+    # --- overload control -----------------------------------------------------------------------
+
+    def _configure_overload(self, now: int, plan: OverloadPlan, settings: Settings) -> Member:
+        member = self._overload
+        if member is None:
             seed = secrets.randbits(64)
-            line = Member(plan.me, plan.size, self._life, seed, now, settings, plan.policy)
-            self._line = self._sidecar.watcher = line
-        if plan.size != line.size:
-            line.resize(plan.size)
-        line.policy = plan.policy
+            member = Member(plan.me, plan.size, self._incarnation, seed, now, settings, plan.policy)
+            self._overload = self._sidecar.watcher = member
+        if plan.size != member.size:
+            member.resize(plan.size)
+        member.policy = plan.policy
         if plan.pin != self._pin:
-            # One that stands in the settings again after it lapsed, unchanged, is not a new one.
+            # Compared with the last setting, not the pin in force: a pin that has expired stays in the settings
+            # and must not start again.
             self._pin = plan.pin
-            line.pin = parse(plan.pin, now) if plan.pin else None
-            log.info("overload line: %s", f"an operator's hand on it: {plan.pin}" if plan.pin else "let go")
-        return line
+            member.pin = parse(plan.pin, now) if plan.pin else None
+            log.info("overload line: %s", f"an operator's hand on it: {plan.pin}" if plan.pin else "pin removed")
+        return member
 
-    def _advise(self, event: Event) -> None:
+    def _apply_event(self, event: Event) -> None:
+        """Pass a participant's event to the sidecar, and log a change of the admission threshold."""
         self._sidecar.advise(event)
-        line = self._line
-        if line is None or line.line.rung == self._rung:
+        member = self._overload
+        if member is None or member.line.rung == self._logged_rung:
             return
         log.info(
-            "overload line: %s (%s, load %.2f of where it moves, %d voters)",
-            rung_name(line.line.rung), line.line.step.value, line.line.load, line.line.voters,
+            "overload line: %s (%s, load %.2f of the limit at which it rises, %d voters)",
+            rung_name(member.line.rung), member.line.step.value, member.line.load, member.line.voters,
         )  # fmt: skip
-        self._rung = line.line.rung
+        self._logged_rung = member.line.rung
 
     # --- caps -----------------------------------------------------------------------------------
 
-    def _with_caps(self, now: int, plan: CapsPlan, settings: Settings) -> Caps:
-        self._marks = {cap.tenant: cap.rule.mark for cap in plan.caps if cap.kind == CLIENT}
-        nodes = {cap.tenant for cap in plan.caps if cap.kind == NODE}
-        for tenant in self._nodes - nodes:
+    def _configure_caps(self, now: int, plan: CapsPlan, settings: Settings) -> CapsMember:
+        self._client_caps = {cap.tenant: cap.rule.wire_id for cap in plan.caps if cap.kind == CLIENT}
+        node_capped = {cap.tenant for cap in plan.caps if cap.kind == NODE}
+        for tenant in self._node_capped - node_capped:
             self._sidecar.advise(Allotted(tenant, True, None))
-        self._nodes = nodes
+        self._node_capped = node_capped
         if self._caps is None:
-            self._gate = Gate(self._clock.now, self._usable, min(c.aim_ns for c in settings.classes))
-            self._caps = Caps(plan.me, self._life, now, plan.caps, self._look)
-            self._frontend.gate = self._gate
+            self._connection_limiter = ConnectionLimiter(
+                self._clock.now, self._usable, min(c.aim_ns for c in settings.classes)
+            )
+            self._caps = CapsMember(plan.me, self._incarnation, now, plan.caps, self._measure)
+            self._frontend.gate = self._connection_limiter
             log.info("caps: %s", ", ".join(f"{cap.rule.name} = {cap.rule.amount}" for cap in plan.caps))
         else:
-            self._caps.change(now, plan.caps)
+            self._caps.update_caps(now, plan.caps)
         return self._caps
 
-    def _without_caps(self, now: int) -> None:
-        for tenant in self._nodes:
+    def _remove_caps(self, now: int) -> None:
+        for tenant in self._node_capped:
             self._sidecar.advise(Allotted(tenant, True, None))
-        self._caps = self._gate = self._frontend.gate = None
-        self._nodes, self._marks = set(), {}
+        self._caps = self._connection_limiter = self._frontend.gate = None
+        self._node_capped, self._client_caps = set(), {}
 
     def _usable(self, tenant: int) -> int | None:
-        mark = self._marks.get(tenant)
-        return None if mark is None or self._caps is None else self._caps.held(self._clock.now(), mark)
+        """Return how many client connections a tenant may have here now; None if it has no cap."""
+        wire_id = self._client_caps.get(tenant)
+        return None if wire_id is None or self._caps is None else self._caps.usable(self._clock.now(), wire_id)
 
-    def _look(self, now: int, cap: Cap) -> Use:
+    def _measure(self, now: int, cap: Cap) -> Usage:
+        """Return the usage of a cap at this sidecar."""
         if cap.kind == CLIENT:
-            assert self._gate is not None
-            return self._gate.look(now, cap)
+            assert self._connection_limiter is not None
+            return self._connection_limiter.usage(now, cap)
         assert self._caps is not None
-        usable = self._caps.held(now, cap.rule.mark)
-        asked = self._sidecar.demand().get((cap.tenant, True), 0)
-        # Who is refused is gone at once, so how many more there would be is not known: doubling finds it.
-        return Use(min(asked, usable), max(2, usable // 2) if asked > usable else 0)
+        usable = self._caps.usable(now, cap.rule.wire_id)
+        demand = self._sidecar.demand().get((cap.tenant, True), 0)
+        # Refused requests leave at once, so how many more units they need is not known: doubling finds it.
+        return Usage(min(demand, usable), max(2, usable // 2) if demand > usable else 0)
 
     # --- both -----------------------------------------------------------------------------------
 
     def receive(self, sender: int, data: bytes) -> None:
-        """A word of another sidecar."""
-        if self.shell is not None:
-            self.shell.receive(sender, data)
+        """Process a gossip datagram from the peer with index `sender`."""
+        if self.transport is not None:
+            self.transport.receive(sender, data)
 
     def stop(self) -> None:
-        """Take no part any more: what is held goes back."""
-        if self.shell is not None:
-            self.shell.stop()
-        self.shell = self._line = self._sidecar.watcher = None
+        """Stop all participants when the sidecar shuts down; units that it holds are returned to their owners."""
+        if self.transport is not None:
+            self.transport.stop()
+        self.transport = self._overload = self._sidecar.watcher = None
         if self._caps is not None:
-            self._without_caps(self._clock.now())
+            self._remove_caps(self._clock.now())
         self._pin = ""
 
     def overload_table(self) -> dict[str, Any]:
-        """The line, for operators."""
-        if self._line is None:
+        """Return the state of overload control for operators."""
+        if self._overload is None:
             return {"off": "overload.mode is off here"}
-        return self._line.table(self._clock.now())
+        return self._overload.table(self._clock.now())
 
     def caps_table(self) -> dict[str, Any]:
-        """The caps, for operators."""
-        if self._caps is None or self._gate is None:
+        """Return the state of the caps for operators."""
+        if self._caps is None or self._connection_limiter is None:
             return {"off": "no caps here"}
         return {
             "caps": self._caps.table(self._clock.now()),
-            "refused": self._gate.refused, "closed": self._gate.closed,
+            "refused": self._connection_limiter.refused, "closed": self._connection_limiter.evicted,
         }  # fmt: skip
--- a/tests/gossip/test_gossip.py
+++ b/tests/gossip/test_gossip.py
@@ -1,4 +1,4 @@
-"""Frames byte for byte, damage, and whose word holds."""
+"""The frame of gossip messages, malformed datagrams, and which message of a sender is kept."""
 
 from __future__ import annotations
 
@@ -6,65 +6,65 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from covetally.gossip import MalformedMessageError, LatestMessages, Topic, Message, decode, encode, first_sequence
+from covetally.gossip import LatestMessages, MalformedMessageError, Message, Topic, decode, encode, first_sequence
 from covetally.gossip.latest import INCARNATION_TIMEOUT_NS
 
 SECOND = 1_000_000_000
-words = st.builds(
+messages = st.builds(
     Message, st.sampled_from(Topic), st.integers(0, 65535), st.integers(0, 2**32 - 1), st.integers(0, 2**32 - 1),
     st.binary(max_size=243),
 )  # fmt: skip
 
 
-@given(words)
-def test_a_word_comes_back_as_it_was(word):
-    assert decode(encode(word)) == word
-    assert len(encode(word)) <= 256
+@given(messages)
+def test_an_encoded_message_decodes_to_itself(message):
+    assert decode(encode(message)) == message
+    assert len(encode(message)) <= 256
 
 
 @given(st.binary(max_size=300))
-def test_bytes_are_a_word_or_damaged_and_nothing_else(data):
+def test_arbitrary_bytes_decode_to_a_message_or_raise_malformed_message_error(data):
     try:
         assert encode(decode(data))[2:] == data[2:]
     except MalformedMessageError as error:
         assert error.what and error.remedy
 
 
-def test_a_body_that_is_too_long_is_refused():
+def test_body_that_is_too_long_is_rejected():
     with pytest.raises(MalformedMessageError):
         encode(Message(Topic.OVERLOAD, 1, 2, 3, b"x" * 244))
 
 
-def heard(newest: LatestMessages[str], now: int, life: int, number: int, what: str) -> bool:
-    return newest.record(now, Message(Topic.OVERLOAD, 1, life, number, b""), what)
+def record(latest: LatestMessages[str], now: int, incarnation: int, sequence: int, content: str) -> bool:
+    return latest.record(now, Message(Topic.OVERLOAD, 1, incarnation, sequence, b""), content)
 
 
-def test_of_one_life_the_higher_number_holds_and_of_two_the_later():
-    newest: LatestMessages[str] = LatestMessages(0, SECOND)
-    assert heard(newest, 0, life=7, number=10, what="a")
-    assert not heard(newest, 1, 7, 10, "again")
-    assert not heard(newest, 1, 7, 9, "late")
-    assert heard(newest, 2, 8, 500, "the next life")
-    assert not heard(newest, 3, 7, 11, "of the life that ended")
-    assert list(newest.unexpired(3)) == [(1, "the next life", 2)]
-    assert list(newest.unexpired(2 + SECOND)) == []
+def test_higher_sequence_wins_within_an_incarnation_and_the_later_one_of_two_incarnations():
+    latest: LatestMessages[str] = LatestMessages(0, SECOND)
+    assert record(latest, 0, incarnation=7, sequence=10, content="a")
+    assert not record(latest, 1, 7, 10, "repeated")
+    assert not record(latest, 1, 7, 9, "reordered")
+    assert record(latest, 2, 8, 500, "next incarnation")
+    assert not record(latest, 3, 7, 11, "of the ended incarnation")
+    assert list(latest.unexpired(3)) == [(1, "next incarnation", 2)]
+    assert list(latest.unexpired(2 + SECOND)) == []
 
 
-def test_a_late_word_of_a_life_never_heard_before_does_not_shut_out_the_one_that_runs():
-    newest: LatestMessages[str] = LatestMessages(0, SECOND)
-    assert heard(newest, 0, 8, 500, "runs")
-    assert not heard(newest, 1, 7, 11, "ended, and five seconds on its way")
-    assert heard(newest, 2, 8, 501, "runs on")
+def test_late_message_of_an_unknown_ended_incarnation_does_not_shut_out_the_running_one():
+    latest: LatestMessages[str] = LatestMessages(0, SECOND)
+    assert record(latest, 0, 8, 500, "running")
+    assert not record(latest, 1, 7, 11, "ended, and five seconds in transit")
+    assert record(latest, 2, 8, 501, "still running")
 
 
-def test_after_a_reboot_numbers_begin_below_and_are_taken_once_the_old_ones_are_long_past():
-    newest: LatestMessages[str] = LatestMessages(0, SECOND)
-    heard(newest, 0, 8, 10**6, "before")
-    assert not heard(newest, SECOND, 9, 3, "after")
-    assert heard(newest, INCARNATION_TIMEOUT_NS, 9, 4, "after")
+def test_lower_sequence_after_a_reboot_is_accepted_once_the_old_incarnation_has_timed_out():
+    latest: LatestMessages[str] = LatestMessages(0, SECOND)
+    record(latest, 0, 8, 10**6, "before")
+    assert not record(latest, SECOND, 9, 3, "after")
+    assert record(latest, INCARNATION_TIMEOUT_NS, 9, 4, "after")
 
 
-def test_the_numbers_of_a_life_begin_above_those_of_the_one_before():
-    start, words_a_second = 5 * SECOND, 900
-    last = first_sequence(start) + 2 * words_a_second
+def test_sequence_of_an_incarnation_starts_above_that_of_the_one_before():
+    start, messages_per_s = 5 * SECOND, 900
+    last = first_sequence(start) + 2 * messages_per_s
     assert first_sequence(start + 2 * SECOND) > last
