--- a/covetally/caps/connection_limiter.py
+++ b/covetally/caps/connection_limiter.py
@@ -39,7 +39,7 @@
         self._now, self._usable, self._retry_after_ns = now, usable, retry_after_ns
         self._tenants: dict[Connection, int] = {}  # the tenant of each counted connection
         self._idle_since: dict[int, dict[Connection, int]] = {}  # by tenant, the longest idle first
-        self._refusals: dict[int, deque[int]] = {}  # by tenant, when
+        self._refusals: dict[int, deque[int]] = {}  # by tenant, the times of refusals
         self.refused = 0
         self.evicted = 0
 
@@ -109,7 +109,7 @@
         return sum(counted_for == tenant for counted_for in self._tenants.values())
 
     def _close_idle(self, tenant: int, count: int, idle_before: int | None = None) -> int:
-        """Close up to `count` connections that are idle (since `idle_before`, if given); returns how many."""
+        """Close up to `count` idle connections, idle since `idle_before` if given; returns how many."""
         closed = 0
         for connection, since in list(self._idle_since.get(tenant, {}).items()):
             if closed >= count or (idle_before is not None and since > idle_before):
--- a/covetally/caps/lease_holder.py
+++ b/covetally/caps/lease_holder.py
@@ -114,7 +114,7 @@
             if lease.recalled and now - lease.recalled_at >= RECALL_TIMEOUT_NS:
                 lease.recalled = 0  # the idle connections are in use again, and nobody waits any more
             renew = lease.held and (becomes_idle or now - lease.sent_at >= self.rule.lease_ns // 2)
-            # Otherwise units that others want would be lent here first and stay unused for RETURN_DELAY_NS.
+            # In the queue it would be lent units that others want, which stay unused here for RETURN_DELAY_NS.
             leave_queue = lease.queued and lease.answered and self.needed <= held
             retry = not lease.answered and now - lease.sent_at >= min(
                 RETRY_NS << min(lease.unanswered, 3), 2 * SECOND
--- a/covetally/caps/member.py
+++ b/covetally/caps/member.py
@@ -28,8 +28,11 @@
 
 
 class Usage(NamedTuple):
-    """Usage of a cap at this sidecar: connections open, those wanted besides, how many of the open ones are idle
-    (for MIN_IDLE_NS or more) and how long the longest of them has been."""
+    """Usage of a cap at this sidecar.
+
+    `in_use` connections are open and `wanted` more are needed. Of the open ones `idle` have been idle for
+    MIN_IDLE_NS or more, the longest of them for `idle_ns`.
+    """
 
     in_use: int = 0
     wanted: int = 0
@@ -39,8 +42,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Cap:
-    """A cap on the client or node connections (`kind`) of a tenant, given by its index; -1 stands for all tenants
-    that the platform does not name."""
+    """A cap on the connections of a tenant; `kind` is CLIENT or NODE.
+
+    `tenant` is an index; -1 stands for all tenants together that the platform does not name.
+    """
 
     rule: Rule
     kind: str
@@ -49,6 +54,8 @@
 
 @dataclass(slots=True)
 class _CapState:
+    """One cap at this sidecar: its lease holder, its owner and its latest usage."""
+
     cap: Cap
     holder: LeaseHolder
     owner: Owner
@@ -109,8 +116,8 @@
         for state in self._states.values():
             state.usage = usage = self._measure(now, state.cap)
             state.holder.needed = usage.in_use + usage.wanted
-            out += self._send_requests(now, state, state.holder.tick(now, usage.in_use, usage.idle))
-            out += self._send_answers(now, state, state.owner.tick(now))
+            out += self._request_messages(now, state, state.holder.tick(now, usage.in_use, usage.idle))
+            out += self._answer_messages(now, state, state.owner.tick(now))
             busy = busy or state.holder.needed > 0 or state.holder.held(now) > 0 or state.owner.lent > 0
         if now - self._queried_at >= QUERY_INTERVAL_NS:
             self._queried_at = now
@@ -136,7 +143,7 @@
             request = ReceivedRequest(
                 received.number, received.units, received.detail, received.idle, received.idle_time * MS100
             )
-            out = self._send_answers(
+            out = self._answer_messages(
                 now, state, state.owner.handle_request(now, message.sender, message.incarnation, request)
             )
         elif not self._received.record(now, message, None) and received.kind is not MessageKind.GRANT:
@@ -146,12 +153,12 @@
             state.holder.handle_grant(now, message.sender, received.number, received.units, retry_delay_ns)
         elif received.kind is MessageKind.RECALL:
             state.usage = self._measure(now, state.cap)
-            out = self._send_requests(
+            out = self._request_messages(
                 now, state,
                 self._handle_recall(now, state, message.sender, received.units, bool(received.detail)),
             )  # fmt: skip
         elif received.kind is MessageKind.QUERY:
-            out = self._send_requests(now, state, state.holder.handle_query(now, message.sender))
+            out = self._request_messages(now, state, state.holder.handle_query(now, message.sender))
         if received.kind in (MessageKind.GRANT, MessageKind.RECALL):
             self.due = min(self.due, now + TICK_NS // 4)
         return out
@@ -160,7 +167,7 @@
         """Return all units that this sidecar holds, because it stops; what it owns stays lent."""
         out: list[Outgoing] = []
         for state in self._states.values():
-            out += self._send_requests(now, state, state.holder.return_all(now))
+            out += self._request_messages(now, state, state.holder.return_all(now))
         self._left = True
         return out
 
@@ -179,14 +186,14 @@
 
     # --- internals ------------------------------------------------------------------------------
 
-    def _send_requests(self, now: int, state: _CapState, requests: list[LeaseRequest]) -> list[Outgoing]:
-        """Return the messages for a holder's requests; those to the owner in this process are handled at once."""
+    def _request_messages(self, now: int, state: _CapState, requests: list[LeaseRequest]) -> list[Outgoing]:
+        """Return messages for the holder's requests; requests to the local owner are handled at once."""
         out: list[Outgoing] = []
         usage = state.usage
         for request in requests:
             if request.owner == self.me:
                 own = ReceivedRequest(request.number, request.held, request.wanted, usage.idle, usage.idle_ns)
-                out += self._send_answers(
+                out += self._answer_messages(
                     now, state, state.owner.handle_request(now, self.me, self.incarnation, own)
                 )
                 continue
@@ -199,12 +206,12 @@
     def _handle_recall(
         self, now: int, state: _CapState, owner: int, count: int, busy: bool
     ) -> list[LeaseRequest]:
-        # The owner's view of what is idle may be out of date: units in use stay, unless a lowered cap wants them.
+        # The owner may believe units idle that are in use by now: these are returned only for a lowered cap.
         usage = state.usage
         return state.holder.handle_recall(now, owner, count, usage.in_use, usage.in_use if busy else usage.idle)
 
-    def _send_answers(self, now: int, state: _CapState, answers: list[Grant | Recall]) -> list[Outgoing]:
-        """Return the messages for an owner's answers; those to the holder in this process are handled at once."""
+    def _answer_messages(self, now: int, state: _CapState, answers: list[Grant | Recall]) -> list[Outgoing]:
+        """Return messages for the owner's answers; answers to the local holder are handled at once."""
         out: list[Outgoing] = []
         wire_id = state.cap.rule.wire_id
         for answer in answers:
@@ -217,7 +224,7 @@
                         MessageKind.GRANT, wire_id, answer.number, self.incarnation, *values
                     )))  # fmt: skip
             elif answer.holder == self.me:
-                out += self._send_requests(
+                out += self._request_messages(
                     now, state, self._handle_recall(now, state, self.me, answer.count, answer.busy)
                 )
             else:
--- a/covetally/caps/owner.py
+++ b/covetally/caps/owner.py
@@ -2,17 +2,18 @@
 
     event                        action
     -----                        ------
-    request that is newer than   takes `held` as what the holder has, since any earlier grant is void there; lends
-    the last one of its          more if units are free; always answers with a grant
+    newer request of the same    records `held` as what the holder has, since any earlier grant is void there;
+    incarnation                  lends more if units are free; always answers with a grant
+    older or repeated request    ignores it
+    request of a newer           frees what the previous incarnation held, whose sockets ended with its process;
+    incarnation                  then as above
+    request of an older          ignores it
     incarnation
-    older or repeated request,   ignores it
-    or one of an older incarnation
-    request of a newer           considers what the previous incarnation held as free: its sockets ended with its
-    incarnation                  process
-    nothing from a holder        LAPSES: takes back what it lent one fence after the last grant; NEVER: the units
-                                 stay lent, and the holder is queried
-    own start, or units that     LAPSES: lends nothing for one fence; NEVER: lends nothing until all other
-    it did not own before        members have reported what they hold; holders still renew what they hold
+    nothing from a holder        LAPSES: frees what it lent one fence after the last grant;
+                                 NEVER: the units stay lent, and the holder is queried
+    own start, newly owned       LAPSES: lends nothing for one fence;
+    units, change of the mode    NEVER: lends nothing until all other members have reported what they hold;
+                                 both: holders renew what they already hold
     cap lowered                  recalls what is lent beyond it, from the longest idle holder first
 
 Free units go to the holder that has waited longest. If nothing is free while somebody waits, units are recalled
@@ -46,7 +47,7 @@
 
 
 class Recall(NamedTuple):
-    """Asks a holder to return `count` units, idle ones first; `busy` includes units in use if need be."""
+    """Asks a holder to return `count` units, idle ones first; with `busy`, units in use too if needed."""
 
     holder: int
     count: int
@@ -54,8 +55,11 @@
 
 
 class ReceivedRequest(NamedTuple):
-    """A lease holder's request: its number, the units held of this owner and those wanted besides, and how many
-    connections are idle and for how long the longest of them has been."""
+    """A lease holder's request, as its owner receives it.
+
+    The holder has `held` units of this owner and wants `wanted` more. Of its connections `idle` are idle, the
+    longest of them for `idle_ns`.
+    """
 
     number: int
     held: int
