--- a/covetally/caps/messages.py
+++ b/covetally/caps/messages.py
@@ -59,7 +59,7 @@
 def decode(body: bytes) -> CapsMessage:
     """Parse a body; raises MalformedMessageError if it is too short or of an unknown kind."""
     try:
-        kind, *rest = BODY.unpack_from(body)
-        return CapsMessage(MessageKind(kind), *rest)
+        kind, *values = BODY.unpack_from(body)
+        return CapsMessage(MessageKind(kind), *values)
     except (error, ValueError) as damage:
         raise MalformedMessageError(str(damage)) from None
--- a/covetally/caps/rule.py
+++ b/covetally/caps/rule.py
@@ -60,8 +60,8 @@
         owners = self.owners()
         if member not in owners:
             return 0
-        part, rest = divmod(self.amount, len(owners))
-        return part + (owners.index(member) < rest)
+        share, remainder = divmod(self.amount, len(owners))
+        return share + (owners.index(member) < remainder)
 
 
 @lru_cache(maxsize=256)
