--- a/covetally/caps/connection_limiter.py
+++ b/covetally/caps/connection_limiter.py
@@ -19,7 +19,7 @@
 class Connection(Protocol):
     """A client connection of the frontend."""
 
-    surplus: bool  # it is closed after the response to its current request
+    close_after_response: bool  # it is closed after the response to its current request
 
     def silent(self) -> bool:
         """Return whether no part of a request has been received."""
@@ -60,7 +60,7 @@
         self.close_surplus(tenant, limit)
         if known is not None:
             # Not idle, but surplus: its unit was recalled while this request was in transit.
-            return 0 if not connection.surplus else self._refuse(tenant)
+            return 0 if not connection.close_after_response else self._refuse(tenant)
         open_ = self._count(tenant)
         if open_ >= limit and not (limit and self._close_idle(tenant, 1, self._now() - MIN_IDLE_NS)):
             return self._refuse(tenant)
@@ -77,7 +77,7 @@
             if surplus <= 0:
                 break
             if counted_for == tenant:
-                connection.surplus = True
+                connection.close_after_response = True
                 surplus -= 1
 
     def idle(self, connection: Connection) -> None:
--- a/covetally/caps/member.py
+++ b/covetally/caps/member.py
@@ -14,7 +14,7 @@
 from covetally.caps.messages import CapsMessage, MessageKind, decode, encode
 from covetally.caps.owner import Grant, Owner, Recall, ReceivedRequest
 from covetally.caps.rule import Mode, Rule
-from covetally.interface import SECOND, Allotted
+from covetally.interface import SECOND, QuotaUpdate
 from covetally.gossip import LatestMessages, Message, Topic, first_sequence
 from covetally.gossip.transport import BROADCAST, Outgoing
 
@@ -171,7 +171,7 @@
         self._left = True
         return out
 
-    def events(self, now: int) -> list[Allotted]:
+    def events(self, now: int) -> list[QuotaUpdate]:
         """Return the usable units of the caps on node connections, as quotas, where they have changed."""
         out = []
         for state in self._states.values():
@@ -181,7 +181,7 @@
             until = state.holder.expires_at(now) or now + 2**62
             if (usable, until) != state.notified:
                 state.notified = (usable, until)
-                out.append(Allotted(state.cap.tenant, True, float(usable), until, 0.0))
+                out.append(QuotaUpdate(state.cap.tenant, True, float(usable), until, 0.0))
         return out
 
     # --- internals ------------------------------------------------------------------------------
--- a/covetally/shared_decisions.py
+++ b/covetally/shared_decisions.py
@@ -16,7 +16,7 @@
 from covetally.caps.member import CLIENT, NODE, Usage
 from covetally.caps.settings import Plan as CapsPlan
 from covetally.configuration import Configuration
-from covetally.interface import Allotted, Event, Settings
+from covetally.interface import QuotaUpdate, Event, Settings
 from covetally.net.clock import Clock
 from covetally.net.frontend import Frontend
 from covetally.net.sidecar import Sidecar
@@ -108,7 +108,7 @@
         self._client_caps = {cap.tenant: cap.rule.wire_id for cap in plan.caps if cap.kind == CLIENT}
         node_capped = {cap.tenant for cap in plan.caps if cap.kind == NODE}
         for tenant in self._node_capped - node_capped:
-            self._sidecar.advise(Allotted(tenant, True, None))
+            self._sidecar.advise(QuotaUpdate(tenant, True, None))
         self._node_capped = node_capped
         if self._caps is None:
             self._connection_limiter = ConnectionLimiter(
@@ -123,7 +123,7 @@
 
     def _remove_caps(self, now: int) -> None:
         for tenant in self._node_capped:
-            self._sidecar.advise(Allotted(tenant, True, None))
+            self._sidecar.advise(QuotaUpdate(tenant, True, None))
         self._caps = self._connection_limiter = self._frontend.gate = None
         self._node_capped, self._client_caps = set(), {}
 
--- a/tests/caps/test_processes.py
+++ b/tests/caps/test_processes.py
@@ -13,7 +13,7 @@
 from covetally.rig.faults import Faults
 from covetally.rig.schedule import Link, Step
 from covetally.rig.world import Shape, World
-from tests.loopback import WAIT_S, until
+from tests.loopback import TEST_TIMEOUT_S, wait_until
 
 SIZE, CAP = 5, 12
 TENANT = "officina-brescia"
@@ -53,13 +53,13 @@
 def test_all_sidecars_together_never_exceed_the_cap_while_demand_moves_under(tmp_path, mode, fault):
     async def main():
         async with (
-            asyncio.timeout(4 * WAIT_S),
+            asyncio.timeout(4 * TEST_TIMEOUT_S),
             sidecars_with_caps(tmp_path, CAPS_SETTINGS.format(mode=mode)) as (world, _),
         ):
             crowd = Crowd(world, TENANT, CAP)
             clients = asyncio.create_task(crowd.run())
             crowd.wanted["a0"] = CAP
-            await until(lambda: len(crowd.served) >= 0.8 * CAP)
+            await wait_until(lambda: len(crowd.served) >= 0.8 * CAP)
             faults = asyncio.create_task(Faults(world).play(FAULTS[fault]))
             await asyncio.sleep(0.7)
             if any(step.do == "stop" for step in FAULTS[fault]):
@@ -70,7 +70,7 @@
             crowd.stopped.clear()
             assert world.datagrams is not None
             world.datagrams.heal()
-            await until(lambda: sum(w in ("a1", "a4") for w in crowd.served.values()) >= 0.8 * CAP)
+            await wait_until(lambda: sum(w in ("a1", "a4") for w in crowd.served.values()) >= 0.8 * CAP)
             crowd.ended = True
             await clients
             assert crowd.over <= 0, f"{crowd.most} open of {CAP}"
@@ -82,13 +82,13 @@
 def test_two_sidecars_that_want_a_whole_cap_use_all_of_it_without_taking_units_from_each_other_in_turn(tmp_path):
     async def main():
         async with (
-            asyncio.timeout(4 * WAIT_S),
+            asyncio.timeout(4 * TEST_TIMEOUT_S),
             sidecars_with_caps(tmp_path, CAPS_SETTINGS.format(mode="lapses")) as (world, _),
         ):
             crowd = Crowd(world, TENANT, CAP, pause_s=0.1)  # too short to count as idle
             clients = asyncio.create_task(crowd.run())
             crowd.wanted["a0"] = crowd.wanted["a2"] = CAP
-            await until(lambda: len(crowd.served) >= 0.8 * CAP)
+            await wait_until(lambda: len(crowd.served) >= 0.8 * CAP)
             in_use = []
             for _ in range(60):
                 in_use.append(len(crowd.served))
@@ -104,16 +104,16 @@
 def test_overload_by_one_tenant_leaves_the_connections_of_others_open(tmp_path):
     async def main():
         async with (
-            asyncio.timeout(3 * WAIT_S),
+            asyncio.timeout(3 * TEST_TIMEOUT_S),
             sidecars_with_caps(tmp_path, CAPS_SETTINGS.format(mode="lapses")) as (world, _),
         ):
             others, greedy = Crowd(world, "officina-verona", CAP), Crowd(world, TENANT, CAP, pause_s=0.0)
             tasks = [asyncio.create_task(crowd.run()) for crowd in (others, greedy)]
             others.wanted["a0"] = 8
-            await until(lambda: len(others.served) == 8)
+            await wait_until(lambda: len(others.served) == 8)
             before = set(others.served)
             greedy.wanted["a0"] = 100
-            await until(lambda: greedy.refused > 300 and len(greedy.served) >= 0.8 * CAP)
+            await wait_until(lambda: greedy.refused > 300 and len(greedy.served) >= 0.8 * CAP)
             assert set(others.served) == before and others.refused == 0
             assert greedy.over <= 0
             others.ended = greedy.ended = True
@@ -125,23 +125,23 @@
 def test_cap_lowered_by_a_reload_is_reached_without_losing_a_request(tmp_path):
     async def main():
         async with (
-            asyncio.timeout(3 * WAIT_S),
+            asyncio.timeout(3 * TEST_TIMEOUT_S),
             sidecars_with_caps(tmp_path, CAPS_SETTINGS.format(mode="lapses")) as (world, path),
         ):
             crowd = Crowd(world, TENANT, CAP)
             clients = asyncio.create_task(crowd.run())
             crowd.wanted["a0"] = crowd.wanted["a2"] = CAP
-            await until(lambda: len(crowd.served) >= 0.8 * CAP)
+            await wait_until(lambda: len(crowd.served) >= 0.8 * CAP)
             path.write_text(CAPS_SETTINGS.format(mode="lapses").replace(f"= {CAP}", "= 4"))
             for instance in world.instances.values():
                 instance.process.send_signal(signal.SIGHUP)
-            await until(lambda: len(crowd.served) <= 4)
+            await wait_until(lambda: len(crowd.served) <= 4)
             await asyncio.sleep(1.0)
             assert len(crowd.served) <= 4 and crowd.unanswered == 0
             path.write_text(CAPS_SETTINGS.format(mode="lapses"))
             for instance in world.instances.values():
                 instance.process.send_signal(signal.SIGHUP)
-            await until(lambda: len(crowd.served) >= 0.8 * CAP)
+            await wait_until(lambda: len(crowd.served) >= 0.8 * CAP)
             assert world.account.judge().kept
             crowd.ended = True
             await clients
@@ -159,7 +159,7 @@
 def test_invalid_caps_are_rejected_with_a_one_line_message(tmp_path, text, message):
     async def main():
         with pytest.raises(RuntimeError, match="ended") as error:
-            async with asyncio.timeout(WAIT_S), sidecars_with_caps(tmp_path, text):
+            async with asyncio.timeout(TEST_TIMEOUT_S), sidecars_with_caps(tmp_path, text):
                 pass
         lines = [line for line in str(error.value).splitlines() if line]
         assert len(lines) == 1 and message in lines[0]
--- a/tests/caps/test_units.py
+++ b/tests/caps/test_units.py
@@ -328,7 +328,7 @@
 
 class FakeConnection:
     def __init__(self) -> None:
-        self.surplus = self.closed = self.busy = False
+        self.close_after_response = self.closed = self.busy = False
 
     def silent(self) -> bool:
         return not self.busy
@@ -397,7 +397,9 @@
     harness.limiter.admit(connections[2], 1)
     harness.limit = 0
     harness.limiter.usage(0, Cap(Rule("x", 0, 3), CLIENT, 1))
-    assert [connection.closed for connection in connections] == [True, True, False] and connections[2].surplus
+    assert [connection.closed for connection in connections] == [True, True, False] and connections[
+        2
+    ].close_after_response
 
 
 def test_tenants_without_a_cap_are_not_limited_and_do_not_use_up_the_cap_of_others():
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -6,9 +6,9 @@
 import socket
 import time
 
-from covetally.interface import Accept, How, Refuse, Response
-from tests.loopback import answer, fine, place, read_message, request, traces, until
-from tests.support import MS, Paper, settings
+from covetally.interface import AttemptEnded, AttemptStatus, Refuse, RequestReceived
+from tests.loopback import response, respond_ok, sidecar_harness, read_message, request, trace_ids, wait_until
+from tests.support import MS, BalancerHarness, settings
 
 
 def events(here, kind):
@@ -26,13 +26,13 @@
 
 def outcomes(here):
     """Every outcome that the module is told, as they come."""
-    return events(here, Response)
+    return events(here, AttemptEnded)
 
 
 def test_time_in_the_kernel_and_the_backlog_counts_as_the_request_s():
     async def main():
-        async with place(fine) as here:
-            told = events(here, Accept)
+        async with sidecar_harness(respond_ok) as here:
+            told = events(here, RequestReceived)
             with socket.create_connection(here.address) as client:
                 client.sendall(request(expires="0.8"))
                 time.sleep(0.3)  # the whole process stands still, its listener too
@@ -49,31 +49,31 @@
     """The answer is there soon, but this process stands still before it gets to read it."""
 
     async def stand_still(server, got, reader, writer):
-        writer.write(answer(b"quick"))
+        writer.write(response(b"quick"))
         asyncio.get_running_loop().call_soon(time.sleep, 0.2)
 
     async def main():
-        async with place(stand_still) as here:
+        async with sidecar_harness(stand_still) as here:
             told = outcomes(here)
             assert await here.status(request(cls="pay", expires="5")) == 200
-            assert told[0].how == How.OK
-            assert told[0].lag_ns < 150 * MS < told[0].own_ns
+            assert told[0].status == AttemptStatus.OK
+            assert told[0].latency_ns < 150 * MS < told[0].local_ns
 
     asyncio.run(main())
 
 
 def test_an_answer_that_lies_unread_at_the_time_out_is_no_fault_of_the_server():
     async def stand_still(server, got, reader, writer):
-        writer.write(answer(b"in time"))
+        writer.write(response(b"in time"))
         time.sleep(0.5)  # past the aim, not the deadline
 
     async def main():
-        async with place(stand_still) as here:
+        async with sidecar_harness(stand_still) as here:
             told = outcomes(here)
-            here.balancer.book.tokens = 0.0  # no further attempt
+            here.balancer.state.retry_tokens = 0.0  # no further attempt
             await here.status(request(cls="pay", expires="0.95"))
-            await until(lambda: told)
-            assert told[0].how != How.TIMEOUT
+            await wait_until(lambda: told)
+            assert told[0].status != AttemptStatus.TIMEOUT
 
     asyncio.run(main())
 
@@ -82,15 +82,15 @@
     """The kernel has the connection up, but time ran out before this process came to look."""
 
     async def main():
-        async with place(fine) as here:
+        async with sidecar_harness(respond_ok) as here:
             told = outcomes(here)
-            here.balancer.book.tokens = 0.0
+            here.balancer.state.retry_tokens = 0.0
             loop = asyncio.get_running_loop()
             monkeypatch.setattr(loop, "add_writer", lambda *_: None)  # as if the loop had no turn to spare for it
             await here.status(request(expires="0.3"))
-            await until(lambda: told)
-            assert told[0].how == How.MOOT
-            assert here.balancer.book.servers["s0"].k
+            await wait_until(lambda: told)
+            assert told[0].status == AttemptStatus.NOT_SENT
+            assert here.balancer.state.servers["s0"].steps
 
     asyncio.run(main())
 
@@ -100,12 +100,12 @@
         await reader.read()
 
     async def main():
-        async with place(silent) as here:
+        async with sidecar_harness(silent) as here:
             told = outcomes(here)
-            here.balancer.book.tokens = 0.0
+            here.balancer.state.retry_tokens = 0.0
             await here.status(request(expires="0.2"))
-            await until(lambda: told)
-            assert told[0].how == How.TIMEOUT
+            await wait_until(lambda: told)
+            assert told[0].status == AttemptStatus.TIMEOUT
 
     asyncio.run(main())
 
@@ -115,8 +115,8 @@
 
     async def main():
         limits = {"retryAfter": True, "maxRetryAfterNs": 700 * MS}
-        async with place(fine, limits=limits, more={"clients": {"marksRetry": True}}) as here:
-            trace = traces()
+        async with sidecar_harness(respond_ok, limits=limits, more={"clients": {"marksRetry": True}}) as here:
+            trace = trace_ids()
             reader, writer = await here.connect()
 
             async def ask(**more):
@@ -131,14 +131,14 @@
             assert time.monotonic() - start > 0.3, "a burst is served"
             assert b"retry-after: 0.700" in got.lower()
             read = here.sidecar._taken
-            while here.frontend.shed < 3:
+            while here.frontend.shed_requests < 3:
                 await ask()
             again = await ask(more="X-Second-Try: 1\r\n")
             assert again.startswith(b"HTTP/1.1 503"), "whoever comes again is refused"
             for more in ({"cls": "pay"}, {"more": "Connection: keep-alive\r\n"}):
-                shed, taken = here.frontend.shed, here.sidecar._taken
+                shed, taken = here.frontend.shed_requests, here.sidecar._taken
                 await ask(**more)
-                assert (here.frontend.shed, here.sidecar._taken) == (shed, taken + 1), "read as ever"
+                assert (here.frontend.shed_requests, here.sidecar._taken) == (shed, taken + 1), "read as ever"
             assert here.sidecar._taken - read < 40, "some were refused unread"
             writer.write(request(trace()))
             assert (await read_message(reader)).startswith(b"HTTP/1.1 200"), "one read promptly is served"
@@ -148,37 +148,37 @@
 
 
 def test_while_a_queue_stands_those_that_waited_long_are_refused_and_the_others_are_not():
-    balancer = Paper(settings(limits={"retryAfter": True, "maxRetryAfterNs": 700 * MS})).balancer
+    balancer = BalancerHarness(settings(limits={"retryAfter": True, "maxRetryAfterNs": 700 * MS})).balancer
     now, let_in = 5_000 * MS, []
     for _ in range(400):
         now += 2 * MS
-        let_in.append(balancer.glance(now, 100 * MS, False))
-        assert not balancer.glance(now, 70 * MS, False), "within a quarter of the aim"
+        let_in.append(balancer.overload_hold_off(now, 100 * MS, False))
+        assert not balancer.overload_hold_off(now, 70 * MS, False), "within a quarter of the aim"
     assert not any(let_in[:150]), "a burst"
     assert all(wait == 700 * MS for wait in let_in[-200:])
-    assert balancer.glance(now, 0, True) == 700 * MS, "whoever comes again"
+    assert balancer.overload_hold_off(now, 0, True) == 700 * MS, "whoever comes again"
     for _ in range(160):
         now += 2 * MS
-        assert not balancer.glance(now, 70 * MS, False)
+        assert not balancer.overload_hold_off(now, 70 * MS, False)
     assert not balancer.shedding, "none has waited so long for an aim"
-    assert not balancer.glance(now, 100 * MS, True)
+    assert not balancer.overload_hold_off(now, 100 * MS, True)
 
 
 def test_a_silence_ends_the_shedding():
-    balancer = Paper().balancer
+    balancer = BalancerHarness().balancer
     now = 5_000 * MS
     while not balancer.shedding:
         now += 2 * MS
-        balancer.glance(now, 100 * MS, False)
-    assert not balancer.glance(now + 5_000 * MS, 100 * MS, True)
+        balancer.overload_hold_off(now, 100 * MS, False)
+    assert not balancer.overload_hold_off(now + 5_000 * MS, 100 * MS, True)
     assert not balancer.shedding
 
 
 def test_a_crowd_that_came_while_this_process_stood_still_does_not_keep_the_loop():
-    """Between turns of TURN_S it looks at all else, servers' answers above all, whatever has come."""
+    """Between turns of READ_SLICE_S it looks at all else, servers' answers above all, whatever has come."""
 
     async def main():
-        async with place(fine, clients=200, sockets=200) as here:
+        async with sidecar_harness(respond_ok, clients=200, sockets=200) as here:
             order, take, loop = [], here.sidecar.take, asyncio.get_running_loop()
 
             def taking(*words):
@@ -189,9 +189,9 @@
                 return take(*words)
 
             here.sidecar.take = taking
-            trace = traces()
+            trace = trace_ids()
             streams = [await here.connect() for _ in range(60)]
-            await until(lambda: len(here.frontend._clients) == 60)
+            await wait_until(lambda: len(here.frontend._clients) == 60)
             for _, writer in streams:
                 writer.write(request(trace(), expires="5"))
             time.sleep(0.03)  # all have lain in the kernel for longer than is prompt
@@ -205,10 +205,10 @@
 
 def test_with_all_servers_out_and_a_trial_under_way_clients_are_told_when_to_come():
     """A refusal without a time draws the next try at once."""
-    paper = Paper(settings(limits={"retryAfter": True, "maxRetryAfterNs": 700 * MS}), servers=1)
-    server = paper.server("s0")
-    server.k, server.trial, paper.balancer.book.live = 0, True, 0
-    told = paper.feed_accept()
+    harness = BalancerHarness(settings(limits={"retryAfter": True, "maxRetryAfterNs": 700 * MS}), servers=1)
+    server = harness.server("s0")
+    server.steps, server.probing, harness.balancer.state.live_count = 0, True, 0
+    told = harness.feed_accept()
     assert [type(action) for action in told] == [Refuse]
     assert told[0].hold_off_ns > 0
 
@@ -217,7 +217,7 @@
     """They wait in the backlog, or on a kept connection, until this process has time: too late for them."""
 
     async def main():
-        async with place(fine) as here:
+        async with sidecar_harness(respond_ok) as here:
             kept = await here.connect()
             kept[1].write(request("kept"))
             await read_message(kept[0])
@@ -228,19 +228,19 @@
                 with socket.create_connection(here.address) as client:
                     client.sendall(request(f"gone{number}"))
             assert await here.status(request("after")) == 200
-            await until(lambda: not here.frontend._clients)
+            await wait_until(lambda: not here.frontend._clients)
             assert here.sidecar._taken == taken + 1
-            assert len(here.servers["s0"].got) == 2
+            assert len(here.servers["s0"].requests) == 2
 
     asyncio.run(main())
 
 
 def test_a_lone_request_that_waited_is_no_queue():
     """A sidecar with little traffic, or one that has just begun, that stands still for once."""
-    paper = Paper()
-    paper.advance(5_000 * MS)
+    harness = BalancerHarness()
+    harness.advance(5_000 * MS)
     for _ in range(3):
-        tid = paper.accept(age_ns=100 * MS)
-        assert (tid, 0) in paper.out
-        paper.answer(tid, 0)
-        paper.advance(5_000 * MS)
+        tid = harness.accept(age_ns=100 * MS)
+        assert (tid, 0) in harness.outstanding
+        harness.answer(tid, 0)
+        harness.advance(5_000 * MS)
