--- a/covetally/net/extensions.py
+++ b/covetally/net/extensions.py
@@ -43,7 +43,7 @@
 
 
 class Gate(Protocol):
-    """Limits tenants' connections (covetally/caps/gate.py)."""
+    """Limits tenants' connections (covetally/caps/connection_limiter.py)."""
 
     def admit(self, connection: Any, tenant: int) -> int:
         """Returns 0 if a request on the connection may be served, else how many ns later its client may retry."""
