--- a/covetally/lab/fleet.py
+++ b/covetally/lab/fleet.py
@@ -71,13 +71,13 @@
 class Guard(Protocol):
     """What knows a sidecar's requests beside its balancer: covetally/overload's Member."""
 
-    def place(self, name: str, cls: int, tenant: int, retry: bool) -> float:
+    def assign_priority(self, name: str, cls: int, tenant: int, retry: bool) -> float:
         """A request's place in the fleet's order."""
 
-    def outcome(self, event: AttemptEnded, cls: int) -> None:
+    def on_attempt_ended(self, event: AttemptEnded, cls: int) -> None:
         """How an attempt ended."""
 
-    def ended(self, served: bool) -> None:
+    def on_request_ended(self, served: bool) -> None:
         """How a request ended."""
 
 
@@ -202,7 +202,7 @@
         fleet = self.fleet
         fleet.books.note(fleet.now, "asks", event.cls)
         if self.guard is not None:
-            place = self.guard.place(event.tid, event.cls, event.tenant, event.retry)
+            place = self.guard.assign_priority(event.tid, event.cls, event.tenant, event.retry)
             event = event._replace(priority=place)
         self.calls[event.tid] = ask
         fleet.after(event.ttl_ns + 10 * MS, self._overdue, event.tid)
@@ -273,14 +273,14 @@
         lag = fleet.now - fleet.sent_at.pop(job)
         event = AttemptEnded(job.tid, how, lag, node.name, job.attempt, closed, report)
         if self.guard is not None:
-            self.guard.outcome(event, job.cls)
+            self.guard.on_attempt_ended(event, job.cls)
         self.handle(event)
 
     def _end(self, tid: str, how: str, hold_off_ns: int) -> None:
         ask = self.calls.pop(tid)
         self.sent.pop(tid, None)
         if self.guard is not None:
-            self.guard.ended(how == "served")
+            self.guard.on_request_ended(how == "served")
         ask.ended(how, hold_off_ns)
 
 
--- a/covetally/net/async_connection.py
+++ b/covetally/net/async_connection.py
@@ -21,7 +21,7 @@
 
     @classmethod
     async def connect(cls, address: tuple[str, int]) -> AsyncConnection:
-        """Opens a connection; raises OSError if it cannot be established."""
+        """Open a connection; raises OSError if it cannot be established."""
         sock = create_tcp_socket(address)
         try:
             await asyncio.get_running_loop().sock_connect(sock, address)
@@ -35,7 +35,7 @@
             self._waiter.set_result(None)
 
     async def _wait(self) -> None:
-        """Waits for the next event of the stream."""
+        """Wait for the next event of the stream."""
         self._waiter = asyncio.get_running_loop().create_future()
         try:
             await self._waiter
@@ -43,14 +43,14 @@
             self._waiter = None
 
     async def next_event(self) -> MessagePart:
-        """Returns the next part of the server's message; raises Malformed if it is not valid HTTP, Broken if the
+        """Return the next part of the server's message; raises Malformed if it is not valid HTTP, Broken if the
         connection was lost."""
         while not (parts := self._stream.parts()):
             await self._wait()
         return parts.popleft()
 
     async def write(self, data: bytes) -> None:
-        """Returns once the kernel has taken all of `data`; raises Broken if the connection was lost before."""
+        """Return once the kernel has taken all of `data`; raises Broken if the connection was lost before."""
         written = self._stream.send(data)
         while not written:
             await self._wait()
@@ -59,13 +59,13 @@
             written = self._stream.flushed
 
     def has_input(self) -> bool:
-        """Returns whether unexpected bytes or the end of the connection have arrived."""
+        """Return whether unexpected bytes or the end of the connection have arrived."""
         return self._stream.has_input()
 
     def prepare_next_message(self) -> bool:
-        """Prepares for the next message; returns False if this connection must not carry another one."""
+        """Prepare for the next message; returns False if this connection must not carry another one."""
         return self._stream.prepare_next_message()
 
     def close(self) -> None:
-        """Closes the connection immediately."""
+        """Close the connection immediately."""
         self._stream.abort()
--- a/covetally/net/attempt.py
+++ b/covetally/net/attempt.py
@@ -10,9 +10,9 @@
     DELAYING    the last byte is held back, so that a dead        LAST
                 connection is noticed before it is written
     LAST        the last byte is being written                    RECEIVING; from here on the request may have run
-    RECEIVING   the answer is being received                      TAIL, OVER
-    TAIL        the head of an error answer decided the outcome,  OVER
-                its body is still being received
+    RECEIVING   the response is being received                    TAIL, OVER
+    TAIL        the head of an error response decided the         OVER
+                outcome, its body is still being received
     OVER        the outcome is reported, or about to be
 """
 
@@ -40,7 +40,7 @@
 log = logging.getLogger(__name__)
 
 MIN_REMAINING_NS = 1_000_000  # with less, the server would be given a time of 0.000 s or a negative one
-TAIL_S = 0.05  # how long to wait for the body of an error answer, so that its connection can be reused
+TAIL_S = 0.05  # how long to wait for the body of an error response, so that its connection can be reused
 
 
 class Phase(enum.Enum):
@@ -64,8 +64,8 @@
 
     __slots__ = (
         "_phase_timer", "_started_ns", "_limits", "_done", "_incarnation", "_last_byte_delay_s", "_last", "_pool",
-        "_abandon_timer", "_phase", "_reply", "_request", "_reused", "_sent", "_server", "_socket", "_deferred",
-        "_stream", "_head_outcome",
+        "_abandon_timer", "_phase", "_reader", "_request", "_reused", "_sent", "_server", "_socket", "_deferred",
+        "_stream", "_head_status",
     )  # fmt: skip
 
     def __init__(
@@ -80,10 +80,9 @@
         self._phase_timer: asyncio.TimerHandle | Timer | None = None
         self._sent = False  # the kernel has the last byte, so from here on the request may have run
         self._reused = False
-        self._head_outcome: AttemptStatus | None = (
-            None  # decided by an answer's head; nothing after it changes that
-        )
-        self._reply = ResponseReader(request, pool.parse_load_report)
+        # Decided by a response's head; nothing after it changes that.
+        self._head_status: AttemptStatus | None = None
+        self._reader = ResponseReader(request, pool.parse_load_report)
         self._incarnation = 0
         self._phase = CONNECTING
         self._abandon_timer: Timer | None = None
@@ -155,7 +154,7 @@
         self._phase_timer = pool.wheel.call_at(pool.loop.time() + pool.connect_timeout_s, self._connect_timed_out)
 
     def _on_connected(self) -> None:
-        """Handles the result of a connect: success or failure."""
+        """Handle the result of a connect: success or failure."""
         sock = self._socket
         assert sock is not None
         try:
@@ -182,14 +181,14 @@
         self._write(0.0)
 
     def _connect_timed_out(self) -> None:
-        """Handles the connect timeout. A connection that the kernel has established is no fault of the server."""
+        """Handle the connect timeout. A connection that the kernel has established is no fault of the server."""
         self._fail(AttemptStatus.NOT_SENT if self._established() else AttemptStatus.CONNECT_FAILED)
 
     def _established(self) -> bool:
         return self._socket is not None and tcp_info(self._socket)[0]
 
     def _write(self, last_byte_delay_s: float, checked: bool = False) -> None:
-        """Writes the request, or all but its last byte: as long as that is missing, the request cannot have run.
+        """Write the request, or all but its last byte: as long as that is missing, the request cannot have run.
         `checked` says that the connection has just been checked for unexpected input."""
         self._phase_timer = None
         remaining_ns = self._limits.abandon_ns - self._pool.clock.now()
@@ -252,7 +251,7 @@
         self._server.unsent.discard(self)
 
     def _connection_unusable(self) -> None:
-        """Handles a connection that broke, or on which the server sent something, before the last byte was
+        """Handle a connection that broke, or on which the server sent something, before the last byte was
         written."""
         stream = self._stream
         assert stream is not None
@@ -270,7 +269,7 @@
             self._fail(AttemptStatus.RESET)
 
     def shorten_timeout(self, at_ns: int) -> None:
-        """Gives the attempt up at `at_ns` on the pool's clock, if that is earlier than the current limit."""
+        """Give the attempt up at `at_ns` on the pool's clock, if that is earlier than the current limit."""
         if self._phase is OVER or at_ns >= self._limits.abandon_ns:
             return
         self._limits = self._limits._replace(abandon_ns=at_ns)
@@ -279,11 +278,11 @@
         self._abandon_timer = self._pool.wheel.call_at(self._pool.clock.loop_time(at_ns), self._time_out)
 
     def on_server_draining(self) -> None:
-        """Ends an unsent attempt because the server accepts no new requests. This does not count against it."""
+        """End an unsent attempt because the server accepts no new requests. This does not count against it."""
         if not self._sent and self._server.draining:
             self._fail(AttemptStatus.NOT_SENT)
 
-    # --- the answer -----------------------------------------------------------------------------
+    # --- the response ---------------------------------------------------------------------------
 
     def _on_input(self) -> None:
         if self._phase is RECEIVING:
@@ -299,43 +298,43 @@
         try:
             while parts := stream.parts():
                 while parts:
-                    result = self._reply.add_part(parts.popleft(), self._sent)
+                    result = self._reader.add_part(parts.popleft(), self._sent)
                     if result is not None:
                         self._on_result(result)
                         return
         except Malformed as error:
-            # Rejects any answer that is not certain to be complete and to belong to this request. A connection
-            # that ends inside an answer counts as a reset, not as an invalid answer.
-            log.warning("unusable answer: %.200s", error)
+            # Rejects any response that is not certain to be complete and to belong to this request. A connection
+            # that ends inside a response counts as a reset, not as an invalid response.
+            log.warning("unusable response: %.200s", error)
             self._fail(AttemptStatus.RESET if stream.ended else AttemptStatus.UNUSABLE_RESPONSE)
         except OSError:
             self._fail(AttemptStatus.RESET)
 
-    def _lag_ns(self) -> int:
+    def _latency_ns(self) -> int:
         assert self._stream is not None
         return max(0, self._stream.received_at - self._started_ns)
 
     def _on_result(self, result: ResponseResult) -> None:
-        """Handles the result of an answer, once everything that matters of it has arrived."""
+        """Handle the result of a response, once everything that matters of it has arrived."""
         stream = self._stream
         assert stream is not None
-        if result.how in (AttemptStatus.FULL, AttemptStatus.ERROR):
+        if result.status in (AttemptStatus.FULL, AttemptStatus.ERROR):
             # The head has decided the outcome. A short wait for the body makes the connection reusable.
-            self._head_outcome = result.how
+            self._head_status = result.status
             self._phase = TAIL
             self._schedule(TAIL_S, self._end_tail)
             self._receive_tail()
             return
-        answer, lag_ns = result.response, self._lag_ns()
-        assert answer is not None
-        if answer.status == SWITCHED:
+        response, latency_ns = result.response, self._latency_ns()
+        assert response is not None
+        if response.status == SWITCHED:
             sock, early = stream.detach()
             self._stream = None
             self._pool.release_connection()
-            answer = answer._replace(switched=SwitchedConnection(sock, early))
-        elif result.how is AttemptStatus.OK:
+            response = response._replace(switched=SwitchedConnection(sock, early))
+        elif result.status is AttemptStatus.OK:
             self._return_connection()
-        self._finish(Outcome(result.how, self._reply.load, answer, lag_ns))
+        self._finish(Outcome(result.status, self._reader.load, response, latency_ns))
 
     def _receive_tail(self) -> None:
         stream = self._stream
@@ -349,18 +348,18 @@
                     self._end_tail()
                     return
         except Malformed as error:
-            log.warning("unusable answer: %.200s", error)
+            log.warning("unusable response: %.200s", error)
             self._end_tail()
         except OSError:
             self._end_tail()
 
     def _end_tail(self) -> None:
-        assert self._head_outcome is not None
-        lag_ns = self._lag_ns() if self._stream is not None else 0
-        self._finish(Outcome(self._head_outcome, self._reply.load, None, lag_ns))
+        assert self._head_status is not None
+        latency_ns = self._latency_ns() if self._stream is not None else 0
+        self._finish(Outcome(self._head_status, self._reader.load, None, latency_ns))
 
     def _return_connection(self) -> None:
-        """Returns the connection of a finished exchange to the idle pool if it may be reused."""
+        """Return the connection of a finished exchange to the idle pool if it may be reused."""
         stream, server = self._stream, self._server
         assert stream is not None
         if (
@@ -375,40 +374,42 @@
     # --- the end --------------------------------------------------------------------------------
 
     def cancel(self) -> None:
-        """Cancels the attempt: its connection is closed now, and its outcome is reported soon."""
+        """Cancel the attempt: its connection is closed now, and its outcome is reported soon."""
         if self._phase is not OVER:
             self._deferred = True
-            self._finish(Outcome(AttemptStatus.CANCELLED, self._reply.load))
+            self._finish(Outcome(AttemptStatus.CANCELLED, self._reader.load))
 
     def _time_out(self) -> None:
-        """Gives the attempt up. The outcome depends only on the state of the sockets, not on how late this
+        """Give the attempt up. The outcome depends only on the state of the sockets, not on how late this
         process runs.
 
         Guards against a process short of CPU that blames its servers for its own delay: a connection that the
-        kernel has established, or an answer that has arrived but was not read, is no fault of the server. When
+        kernel has established, or a response that has arrived but was not read, is no fault of the server. When
         these counted as failures, one server after the other was excluded. The rule covers any pause of this
         process, such as a slow disk under its log, a stopped machine or a busy neighbour on the same core. It
-        does harm with a server whose answers always arrive at the very last moment: that server is not blamed.
+        does harm with a server whose responses always arrive at the very last moment: that server is not blamed.
         """
         stream = self._stream
         if self._sent:
-            how = AttemptStatus.CANCELLED if stream is not None and stream.has_input() else AttemptStatus.TIMEOUT
+            status = (
+                AttemptStatus.CANCELLED if stream is not None and stream.has_input() else AttemptStatus.TIMEOUT
+            )
         else:
             connecting = self._socket is not None and not self._established()
-            how = AttemptStatus.CONNECT_FAILED if connecting else AttemptStatus.NOT_SENT
-        self._fail(how)
+            status = AttemptStatus.CONNECT_FAILED if connecting else AttemptStatus.NOT_SENT
+        self._fail(status)
 
-    def _fail(self, how: AttemptStatus) -> None:
-        """Ends the attempt after a failure, with the outcome that the failure proves."""
+    def _fail(self, status: AttemptStatus) -> None:
+        """End the attempt after a failure, with the outcome that the failure proves."""
         if self._phase is OVER:
             return
-        if how is AttemptStatus.RESET and self._reused and not self._reply.head_received:
+        if status is AttemptStatus.RESET and self._reused and not self._reader.head_received:
             self._pool.record_broken_idle()
-        if self._head_outcome is not None:
-            how = self._head_outcome
-        elif not self._sent and how is not AttemptStatus.NOT_SENT:
-            how = AttemptStatus.CONNECT_FAILED
-        self._finish(Outcome(how, self._reply.load))
+        if self._head_status is not None:
+            status = self._head_status
+        elif not self._sent and status is not AttemptStatus.NOT_SENT:
+            status = AttemptStatus.CONNECT_FAILED
+        self._finish(Outcome(status, self._reader.load))
 
     def _finish(self, outcome: Outcome) -> None:
         self._phase = OVER
@@ -431,7 +432,7 @@
             self._phase_timer = None
 
     def _close_connection(self) -> None:
-        """Closes the connection or the socket that is being connected, if there is one."""
+        """Close the connection or the socket that is being connected, if there is one."""
         if self._socket is not None:
             sock, self._socket = self._socket, None
             self._pool.loop.remove_writer(sock.fileno())
--- a/covetally/net/budget.py
+++ b/covetally/net/budget.py
@@ -20,7 +20,7 @@
         self._pool = self.free = pool
 
     def resize(self, pool: int) -> None:
-        """Changes the size of the pool.
+        """Change the size of the pool.
 
         Reservations are kept, so after a reduction no new body is admitted until enough memory has been released.
         """
@@ -37,7 +37,7 @@
         self._reserved = 0
 
     def grow(self, size: int) -> None:
-        """Reserves `size` further bytes; raises BudgetExhausted if the pool does not have them."""
+        """Reserve `size` further bytes; raises BudgetExhausted if the pool does not have them."""
         self._size += size
         missing = self._size - self._reserved if self._size > SMALL_BODY else 0
         if missing > max(0, self._budget.free):
@@ -46,6 +46,6 @@
         self._reserved += missing
 
     def release(self) -> None:
-        """Returns all reserved bytes to the pool."""
+        """Return all reserved bytes to the pool."""
         self._budget.free += self._reserved
         self._size = self._reserved = 0
--- a/covetally/net/clock.py
+++ b/covetally/net/clock.py
@@ -19,9 +19,9 @@
         self._offset = time.time_ns() - time.monotonic_ns()
 
     def now(self) -> int:
-        """Returns the current time in nanoseconds since the epoch."""
+        """Return the current time in nanoseconds since the epoch."""
         return self._offset + time.monotonic_ns()
 
     def loop_time(self, at_ns: int) -> float:
-        """Converts a time of this clock to the event loop's clock."""
+        """Convert a time of this clock to the event loop's clock."""
         return (at_ns - self._offset) / 1e9
--- a/covetally/net/config.py
+++ b/covetally/net/config.py
@@ -51,7 +51,7 @@
 
 
 def load(env: Mapping[str, str]) -> Config:
-    """Reads the file that EDGE_CONFIG names. Other variables supply keys that the file lacks."""
+    """Read the file that EDGE_CONFIG names. Other variables supply keys that the file lacks."""
     path = env.get("EDGE_CONFIG")
     if not path:
         raise ConfigError("EDGE_CONFIG: not set; it has to name the configuration file (JSON)")
--- a/covetally/net/connection_manager.py
+++ b/covetally/net/connection_manager.py
@@ -8,7 +8,7 @@
 from covetally.net.close_reason import CloseReason
 from covetally.net.drain_stage import DrainStage
 from covetally.net.request_validation import RequestValidator
-from covetally.net.extensions import Gate, UpgradeHandler
+from covetally.net.extensions import ConnectionLimiter, UpgradeHandler
 from covetally.net.sidecar import Sidecar
 from covetally.net.read_scheduler import ReadScheduler
 from covetally.net.timer_wheel import TimerWheel
@@ -24,7 +24,7 @@
     wheel: TimerWheel
     budget: BodyBudget
     request_validator: RequestValidator
-    gate: Gate | None
+    gate: ConnectionLimiter | None
     upgrades: UpgradeHandler | None
     drain_stage: DrainStage
     read_scheduler: ReadScheduler
--- a/covetally/net/discovery.py
+++ b/covetally/net/discovery.py
@@ -76,12 +76,12 @@
     # --- control --------------------------------------------------------------------------------
 
     def start(self) -> None:
-        """Starts the watch where lists are pushed; it goes on until `stop`."""
+        """Start the watch where lists are pushed; it goes on until `stop`."""
         if self._pushed and self._state is State.IDLE:
             self._call()
 
     def subscribe(self) -> None:
-        """Starts the watch where lists are polled, at the request of the policy; it goes on until calls fail.
+        """Start the watch where lists are polled, at the request of the policy; it goes on until calls fail.
 
         The first failed call is repeated at once, because the server may have closed the kept connection. After
         each further failure the policy decides when to call again.
@@ -90,7 +90,7 @@
             self._call()
 
     def stop(self) -> None:
-        """Ends the watch."""
+        """End the watch."""
         self._state = State.IDLE
         self._close_calls()
         self._end_pause()
@@ -99,14 +99,14 @@
             self._connection = None
 
     def restart(self) -> None:
-        """Starts a new watch, which begins with the full list."""
+        """Start a new watch, which begins with the full list."""
         self.stop()
         self._index, self._failing = None, False
         self.start()
         self.subscribe()
 
     def set_address(self, address: Address) -> None:
-        """Changes discovery's address; pending answers from the old address are dropped.
+        """Change discovery's address; pending answers from the old address are dropped.
 
         The version numbers of the two are unrelated, so the first call asks for the full list.
         """
@@ -121,7 +121,7 @@
     # --- calls ----------------------------------------------------------------------------------
 
     def _call(self) -> None:
-        """Starts the next call. No other call is within its timeout."""
+        """Start the next call. No other call is within its timeout."""
         assert self._newest is None
         loop = asyncio.get_running_loop()
         self._state = State.CALLING
@@ -147,7 +147,7 @@
         return connection
 
     def _time_out(self) -> None:
-        """Handles the timeout of the newest call. The call may stay open beside the next ones."""
+        """Handle the timeout of the newest call. The call may stay open beside the next ones."""
         open_call, self._newest = self._newest, None
         assert open_call is not None
         self._use_partial_list(open_call)
@@ -162,7 +162,7 @@
         self._on_failed(f"no answer within {open_call.timing.timeout_s:.2f} s")
 
     def _give_up(self, open_call: _OpenCall) -> None:
-        """Closes a kept call that has not been answered in time."""
+        """Close a kept call that has not been answered in time."""
         self._kept.remove(open_call)
         self._use_partial_list(open_call)
         self._close(open_call)
@@ -179,7 +179,7 @@
             self._close(each)
 
     def _call_done(self, open_call: _OpenCall, task: asyncio.Task[bytes]) -> None:
-        """Handles the end of a call's task; calls that were closed here are ignored."""
+        """Handle the end of a call's task; calls that were closed here are ignored."""
         if task.cancelled():
             return
         if open_call is not self._newest and open_call not in self._kept:
@@ -199,7 +199,7 @@
     # --- results --------------------------------------------------------------------------------
 
     def _call_answered(self, open_call: _OpenCall, update: ListUpdate) -> None:
-        """Uses the first complete answer, whichever call it belongs to, and starts the next call at once."""
+        """Use the first complete answer, whichever call it belongs to, and start the next call at once."""
         connection = open_call.call.take_connection()
         self._close_calls()
         self._connection = connection
@@ -216,7 +216,7 @@
                 self._call()
 
     def _call_failed(self, open_call: _OpenCall, text: str) -> None:
-        """Handles the failure of one call."""
+        """Handle the failure of one call."""
         self._use_partial_list(open_call)
         if open_call is self._newest:
             self._newest = None
@@ -225,7 +225,7 @@
             self._kept.remove(open_call)
 
     def _on_failed(self, text: str) -> None:
-        """Decides what follows after the newest call failed or timed out."""
+        """Decide what follows after the newest call failed or timed out."""
         first, self._failing = not self._failing, True
         if first:
             log.warning("discovery: %s", text)
@@ -239,7 +239,7 @@
             self.on_failure()
 
     def _use_partial_list(self, open_call: _OpenCall) -> None:
-        """Applies the entries that were received completely in an incomplete answer: each of them is valid."""
+        """Apply the entries that were received completely in an incomplete answer: each of them is valid."""
         entries = parse_partial_list(self._settings, open_call.call.received.decode("utf-8", "replace"))
         if entries:
             self.on_update(ListUpdate(0, False, entries))
--- a/covetally/net/discovery_call.py
+++ b/covetally/net/discovery_call.py
@@ -19,7 +19,7 @@
         self.received = bytearray()
 
     async def run(self) -> bytes:
-        """Returns the complete body of the answer; raises OSError, Malformed or ListError if there is none. Any
+        """Return the complete body of the answer; raises OSError, Malformed or ListError if there is none. Any
         failure, including cancellation, closes the connection."""
         try:
             if self._connection is None:
@@ -46,7 +46,7 @@
         return bytes(self.received)
 
     def take_connection(self) -> AsyncConnection | None:
-        """Hands over the connection of an answered call for the next call; None if it cannot be reused."""
+        """Hand over the connection of an answered call for the next call; None if it cannot be reused."""
         connection, self._connection = self._connection, None
         if connection is not None and not connection.prepare_next_message():
             connection.close()
@@ -54,7 +54,7 @@
         return connection
 
     def close(self) -> None:
-        """Closes the connection, if there is one."""
+        """Close the connection, if there is one."""
         if self._connection is not None:
             self._connection.close()
             self._connection = None
--- a/covetally/net/discovery_schedule.py
+++ b/covetally/net/discovery_schedule.py
@@ -13,7 +13,7 @@
   the drain grace.
 - Where lists are polled, discovery is one service shared by all sidecars, and it may process calls in turn. A
   call after a failed one therefore gets a long timeout and asks for no wait, and the policy draws the pauses
-  between failed calls (`ASK_GAP` in covetally/policy/roster.py).
+  between failed calls (`MEAN_SUBSCRIBE_DELAY` in covetally/policy/server_list.py).
 """
 
 from __future__ import annotations
@@ -47,7 +47,7 @@
 
 
 def next_call(pushed: bool, known: bool, failing: bool, grace_s: float = DRAIN_GRACE_S) -> CallTiming:
-    """Returns the timing of the next call. `known` says that a version of the list is known, `failing` that the
+    """Return the timing of the next call. `known` says that a version of the list is known, `failing` that the
     previous call failed."""
     if failing or not known:
         timeout_s = max(MIN_PUSHED_TIMEOUT_S, min(PUSHED_TIMEOUT_S, TIMEOUT_GRACE_FRACTION * grace_s))
@@ -56,7 +56,7 @@
 
 
 def keep_open_s(pushed: bool, timing: CallTiming) -> float:
-    """Returns how long after its start an unanswered call is closed; always longer than its timeout.
+    """Return how long after its start an unanswered call is closed; always longer than its timeout.
 
     Guards against an agent, or a network path to it, whose every answer takes longer than a call's timeout: if
     each call were closed at its timeout, no answer would ever be received. Two calls are kept so that one of them
@@ -67,10 +67,10 @@
 
 
 def retry_pause_s(grace_s: float = DRAIN_GRACE_S) -> float:
-    """Returns the pause between two failed calls where lists are pushed."""
+    """Return the pause between two failed calls where lists are pushed."""
     return max(MIN_RETRY_PAUSE_S, min(MAX_RETRY_PAUSE_S, PAUSE_GRACE_FRACTION * grace_s))
 
 
 def detection_s(timing: CallTiming, grace_s: float = DRAIN_GRACE_S) -> float:
-    """Returns the longest time between a call falling silent and the start of the next one."""
+    """Return the longest time between a call falling silent and the start of the next one."""
     return timing.timeout_s + retry_pause_s(grace_s)
--- a/covetally/net/extensions.py
+++ b/covetally/net/extensions.py
@@ -26,27 +26,27 @@
     """Takes over connections whose clients ask for another protocol."""
 
     def wants(self, head: RequestHead) -> bool:
-        """Returns whether it handles a request that has an Upgrade header."""
+        """Return whether it handles a request that has an Upgrade header."""
 
     def begin(self, head: RequestHead) -> Upgrade:
-        """Returns the request to forward; raises Malformed if it must not be forwarded."""
+        """Return the request to forward; raises Malformed if it must not be forwarded."""
 
     def admit(self, upgrade: Upgrade) -> HttpResponse | None:
-        """Returns None if a connection limit leaves room for the request, else the refusal."""
+        """Return None if a connection limit leaves room for the request, else the refusal."""
 
     def declined(self, upgrade: Upgrade, answer: HttpResponse | None) -> None:
         """Called when the request got another answer than 101, or None if its client has left."""
 
     def switched(self, upgrade: Upgrade, client: tuple[socket.socket, bytes], answer: HttpResponse) -> None:
-        """Takes over both connections after a server has agreed. `client` is the client's socket, with the bytes
+        """Take over both connections after a server has agreed. `client` is the client's socket, with the bytes
         that the client sent early."""
 
 
-class Gate(Protocol):
+class ConnectionLimiter(Protocol):
     """Limits tenants' connections (covetally/caps/connection_limiter.py)."""
 
     def admit(self, connection: Any, tenant: int) -> int:
-        """Returns 0 if a request on the connection may be served, else how many ns later its client may retry."""
+        """Return 0 if a request on the connection may be served, else how many ns later its client may retry."""
 
     def idle(self, connection: Any) -> None:
         """Called when the connection has no request in progress any more."""
@@ -59,7 +59,7 @@
     """The ids of requests that are open in any of the processes that serve one address."""
 
     def claim(self, trace_id: bytes) -> bool:
-        """Claims an id for this process; returns False if another process has a request open under it."""
+        """Claim an id for this process; returns False if another process has a request open under it."""
 
     def release(self, trace_id: bytes) -> None:
-        """Releases an id after its request is finished."""
+        """Release an id after its request is finished."""
--- a/covetally/net/frontend.py
+++ b/covetally/net/frontend.py
@@ -21,7 +21,7 @@
 from covetally.net.request_validation import RequestValidator
 from covetally.net.recent_ids import RecentIds
 from covetally.net.invariants import Invariant
-from covetally.net.extensions import Claims, Gate, UpgradeHandler
+from covetally.net.extensions import Claims, ConnectionLimiter, UpgradeHandler
 from covetally.net.shutdown_times import times_within
 from covetally.net.sidecar import Sidecar
 from covetally.net.stream import tcp_info
@@ -80,7 +80,7 @@
         self.drain_stage = DrainStage()
         self._drain_timer: asyncio.TimerHandle | None = None  # for the next stage of an operator's drain
         self.closed: Counter[CloseReason] = Counter()  # closed connections by reason
-        self.gate: Gate | None = None  # enforces connection caps of tenants, if configured
+        self.gate: ConnectionLimiter | None = None  # enforces connection caps of tenants, if configured
         self.retune(settings, limit, body_memory)
         self._clients: dict[ClientConnection, None] = {}
         self._eviction = EvictionOrder()
--- a/covetally/net/loop.py
+++ b/covetally/net/loop.py
@@ -82,7 +82,7 @@
             log.exception("unhandled exception in a socket callback")
 
     def _narrow(self, fd: int, watch: _Watch) -> None:
-        """Reduces the events that the kernel reports for a descriptor.
+        """Reduce the events that the kernel reports for a descriptor.
 
         If the kernel has no memory for the change, it is repeated before the next poll; until then surplus events
         are ignored.
@@ -99,7 +99,7 @@
                 self._narrow(fd, watch)
 
     def watch(self, fd: int, read: Callback | None, write: Callback | None) -> None:
-        """Sets the callbacks of a descriptor; None keeps the current one."""
+        """Set the callbacks of a descriptor; None keeps the current one."""
         watch = self._watches.get(fd)
         if watch is None:
             self._poll.register(fd, (IN if read else 0) | (OUT if write else 0))
@@ -111,7 +111,7 @@
         watch.on_read, watch.on_write = read, write  # only after the kernel has accepted the change
 
     def unwatch(self, fd: int, read: bool) -> bool:
-        """Removes the read callback of a descriptor, or else its write callback; returns whether it had one."""
+        """Remove the read callback of a descriptor, or else its write callback; returns whether it had one."""
         watch = self._watches.get(fd)
         if watch is None or (watch.on_read if read else watch.on_write) is None:
             return False
@@ -164,13 +164,13 @@
 
 
 def run(main: Coroutine[Any, Any, None]) -> None:
-    """Runs the main coroutine of a process on a `Loop` until it returns."""
+    """Run the main coroutine of a process on a `Loop` until it returns."""
     with asyncio.Runner(loop_factory=_create_loop) as runner:
         runner.run(main)
 
 
 def _create_loop() -> Loop:
-    """Creates an event loop; retries for a while if the system has no descriptors or memory."""
+    """Create an event loop; retries for a while if the system has no descriptors or memory."""
     for _ in range(CREATE_TRIES):
         try:
             return Loop()
--- a/covetally/net/outcome.py
+++ b/covetally/net/outcome.py
@@ -16,7 +16,7 @@
     """A client's request to switch its connection to another protocol."""
 
     def check(self, head: ResponseHead) -> None:
-        """Raises Malformed if a 101 response does not answer the request."""
+        """Raise Malformed if a 101 response does not answer the request."""
 
 
 class Request(NamedTuple):
@@ -29,7 +29,7 @@
     switch: Switch | None = None
 
     def encode(self, expires_s: float) -> bytes:
-        """Returns the bytes for an attempt that is given up after `expires_s`."""
+        """Return the bytes for an attempt that is given up after `expires_s`."""
         lines = [b"%s %s HTTP/1.1" % (self.method, self.target)]
         lines += [name + b": " + value for name, value in self.headers if name != b"x-expires-in"]
         lines.append(b"x-expires-in: %.3f" % expires_s)
@@ -54,11 +54,11 @@
 class Outcome(NamedTuple):
     """The result of an attempt.
 
-    `answer` is present if it settles the request. `lag_ns` is the time that the server took to answer; the time
-    that the answer waited in this process is not included.
+    `response` is present if it settles the request. `latency_ns` is the time that the server took to respond; the
+    time that the response waited in this process is not included.
     """
 
-    how: AttemptStatus
+    status: AttemptStatus
     load: Load
-    answer: HttpResponse | None = None
-    lag_ns: int = 0
+    response: HttpResponse | None = None
+    latency_ns: int = 0
--- a/covetally/net/peers.py
+++ b/covetally/net/peers.py
@@ -24,18 +24,18 @@
         self.set_peers(peers, peers_all)
 
     def set_peers(self, peers: tuple[Address, ...], peers_all: Address | None) -> None:
-        """Replaces the peers' addresses. `peers_all` is an address that reaches all of them."""
+        """Replace the peers' addresses. `peers_all` is an address that reaches all of them."""
         self._peers = peers
         self._all = peers_all
         self._numbers = {peer: number for number, peer in enumerate(peers)}
 
     async def listen(self, address: Address) -> None:
-        """Binds the socket; raises OSError if the address is not available."""
+        """Bind the socket; raises OSError if the address is not available."""
         loop = asyncio.get_running_loop()
         await loop.create_datagram_endpoint(lambda: self, local_addr=address, family=socket.AF_INET)
 
     def send(self, peer: int, blob: bytes) -> None:
-        """Sends a message to one peer, or to all peers if `peer` is -1. Datagrams may be lost anyway, so failures
+        """Send a message to one peer, or to all peers if `peer` is -1. Datagrams may be lost anyway, so failures
         are ignored."""
         to = self._all if peer < 0 else self._peers[peer] if peer < len(self._peers) else None
         if self._transport is not None and to is not None:
@@ -52,4 +52,4 @@
         self.on_message(number, data)
 
     def error_received(self, exc: Exception) -> None:
-        """Ignores errors: a peer that is down answers with an ICMP error."""
+        """Ignore errors: a peer that is down answers with an ICMP error."""
--- a/covetally/net/repeat_guard.py
+++ b/covetally/net/repeat_guard.py
@@ -1,7 +1,7 @@
 """The last check before a request is repeated, independent of the policy that asked for the repeat.
 
-The policy implements the same rule in `policy/rules.py`. It is implemented twice on purpose: a bug in the policy
-must not run a request's effect twice. This check uses only which attempts were submitted and how they ended.
+The policy implements the same rule in `policy/attempt_rules.py`. It is implemented twice on purpose: a bug in the
+policy must not run a request's effect twice. This check uses only which attempts were submitted and how they ended.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 
 def may_repeat(cls: RequestClass, outstanding: int, ran_at_ns: int, now_ns: int) -> bool:
-    """Returns whether a further attempt is safe.
+    """Return whether a further attempt is safe.
 
     `outstanding` is the number of attempts without an outcome, and `ran_at_ns` the start of the first attempt
     that may have run (0: none). Both times are on the sidecar's clock.
--- a/covetally/net/response_reader.py
+++ b/covetally/net/response_reader.py
@@ -45,7 +45,7 @@
 class ResponseResult(NamedTuple):
     """The outcome that a response proves; `response` is set if it is final for the client."""
 
-    how: AttemptStatus
+    status: AttemptStatus
     response: HttpResponse | None = None
 
 
--- a/covetally/net/server.py
+++ b/covetally/net/server.py
@@ -45,30 +45,30 @@
     connect_timeout_s: float
 
     def take_idle(self, server: Server) -> tuple[Stream, float, float] | None:
-        """Takes an idle connection out of the pool; returns it with the time that it was idle and the time until
+        """Take an idle connection out of the pool; returns it with the time that it was idle and the time until
         it may be used."""
 
     def add_idle(self, server: Server, stream: Stream) -> None:
-        """Adds the connection of a finished exchange to the idle pool."""
+        """Add the connection of a finished exchange to the idle pool."""
 
     def reserve_connection(self) -> bool:
-        """Reserves one of the limited number of connections; returns False if none is left."""
+        """Reserve one of the limited number of connections; returns False if none is left."""
 
     def release_connection(self) -> None:
-        """Releases a reserved connection that was closed or not established."""
+        """Release a reserved connection that was closed or not established."""
 
     def classify_connect_error(self, server: Server, error: int | None) -> AttemptStatus:
-        """Returns the outcome for a connect that failed at once with this errno: MOOT if the error does not
+        """Return the outcome for a connect that failed at once with this errno: NOT_SENT if the error does not
         indicate a fault of the server."""
 
     def record_connected(self, server: Server) -> None:
-        """Records that a connection to the server was established."""
+        """Record that a connection to the server was established."""
 
     def record_broken_idle(self) -> None:
-        """Records that an idle connection broke when it was reused."""
+        """Record that an idle connection broke when it was reused."""
 
     def last_byte_delay_s(self, idle_s: float) -> float:
-        """Returns how long the last byte of a request is held back on a connection that was idle for `idle_s`."""
+        """Return how long the last byte of a request is held back on a connection that was idle for `idle_s`."""
 
     def parse_load_report(self, text: bytes) -> Load:
-        """Parses a load report; returns an empty one if it is malformed."""
+        """Parse a load report; returns an empty one if it is malformed."""
--- a/covetally/net/server_list.py
+++ b/covetally/net/server_list.py
@@ -34,7 +34,7 @@
 
 
 def parse_list(settings: Settings, raw: Any) -> ListUpdate:
-    """Converts a decoded answer of discovery; raises ListError if any part of it is malformed."""
+    """Convert a decoded answer of discovery; raises ListError if any part of it is malformed."""
     try:
         generation, full, items = raw["generation"], raw["reset"], raw["instances"]
         if not isinstance(generation, int) or not isinstance(full, bool) or not isinstance(items, list):
@@ -61,12 +61,12 @@
 
 
 def _index(names: tuple[str, ...], name: Any) -> int:
-    """Returns the index of a name; unknown names share the index after the last one."""
+    """Return the index of a name; unknown names share the index after the last one."""
     return names.index(name) if name in names else len(names)
 
 
 def parse_partial_list(settings: Settings, text: str) -> list[tuple[ServerEntry, Address]]:
-    """Returns the entries that were received completely in a truncated answer; each of them is valid."""
+    """Return the entries that were received completely in a truncated answer; each of them is valid."""
     entries = []
     start = _PREAMBLE.match(text)
     at = start.end() if start else len(text)
--- a/covetally/net/shutdown_times.py
+++ b/covetally/net/shutdown_times.py
@@ -27,11 +27,11 @@
 
 
 def shutdown_times(longest_deadline_s: float) -> ShutdownTimes:
-    """Returns the shutdown times for the longest deadline of any class."""
+    """Return the shutdown times for the longest deadline of any class."""
     return times_within(min(longest_deadline_s, MAX_COUNTED_DEADLINE_S) + CLOSED_AFTER_S)
 
 
 def times_within(closed_s: float) -> ShutdownTimes:
-    """Returns the shutdown times for a shutdown that takes `closed_s` in total."""
+    """Return the shutdown times for a shutdown that takes `closed_s` in total."""
     answered_s = max(0.0, closed_s - CLOSING_S)
     return ShutdownTimes(min(ACCEPTING_S, answered_s), answered_s, closed_s)
--- a/covetally/net/sidecar.py
+++ b/covetally/net/sidecar.py
@@ -53,7 +53,7 @@
 
 
 class RequestInfo(NamedTuple):
-    """The attributes of a request that the balancer needs, read from its head; see `Accept`."""
+    """The attributes of a request that the balancer needs, read from its head; see `RequestReceived`."""
 
     cls: int
     ttl_ns: int
@@ -67,13 +67,13 @@
 class RequestObserver(Protocol):
     """An observer of all requests beside the balancer: fleet-wide load shedding (covetally/overload)."""
 
-    def place(self, name: bytes, cls: int, tenant: int, retry: bool) -> float:
-        """Returns a request's priority, on one scale for the whole fleet."""
+    def assign_priority(self, name: bytes, cls: int, tenant: int, retry: bool) -> float:
+        """Return a request's priority, on one scale for the whole fleet."""
 
-    def outcome(self, event: AttemptEnded, cls: int) -> None:
+    def on_attempt_ended(self, event: AttemptEnded, cls: int) -> None:
         """Called when an attempt has ended."""
 
-    def ended(self, served: bool) -> None:
+    def on_request_ended(self, served: bool) -> None:
         """Called when a request is finished; `served` says whether its answer was a 200."""
 
 
@@ -88,10 +88,10 @@
         """The id that the client gave the request."""
 
     def client_connected(self) -> bool:
-        """Returns whether the client is still connected. If it has left, the request is cancelled."""
+        """Return whether the client is still connected. If it has left, the request is cancelled."""
 
-    def finish(self, answer: HttpResponse) -> None:
-        """Sends the complete answer to the client."""
+    def finish(self, response: HttpResponse) -> None:
+        """Send the complete answer to the client."""
 
 
 @dataclass(slots=True, eq=False)
@@ -140,17 +140,17 @@
         self._shutdown_ns = 0  # during shutdown: when the last answer is due; 0 before
         self._balancer = Balancer(settings, seed, clock.now())
 
-    def apply_settings(self, settings: Settings) -> None:
-        """Applies changed settings; the classes themselves must be the same."""
+    def reconfigure(self, settings: Settings) -> None:
+        """Apply changed settings; the classes themselves must be the same."""
         self._classes = settings.classes
         self._balancer.reconfigure(settings)
 
-    def beliefs(self) -> list[ServerStatus]:
-        """Returns the balancer's state of each server."""
+    def server_statuses(self) -> list[ServerStatus]:
+        """Return the balancer's view of each server."""
         return self._balancer.server_statuses(self._clock.now())
 
     def zones(self) -> dict[str, int]:
-        """Returns the zone of each server that is up."""
+        """Return the zone of each server that is up."""
         return self._balancer.zones()
 
     @property
@@ -171,16 +171,16 @@
         return self._balancer.queue_age_limit
 
     def early_refusal(self, age_ns: int, retry: bool) -> bytes:
-        """Returns the encoded refusal for a request that has waited for `age_ns` and is not parsed yet; empty if
+        """Return the encoded refusal for a request that has waited for `age_ns` and is not parsed yet; empty if
         the request is admitted."""
         hold_off_ns = self._balancer.overload_hold_off(self._clock.now(), age_ns, retry)
         return _encoded_refusal(hold_off_ns) if hold_off_ns else b""
 
     def accept(
-        self, exchange: Exchange, info: RequestInfo, age_ns: int = 0, let_in: bool = False, name: bytes = b""
+        self, exchange: Exchange, info: RequestInfo, age_ns: int = 0, admitted: bool = False, name: bytes = b""
     ) -> str:
-        """Accepts a request that was completely received `age_ns` ago: from now on an answer is owed. Returns its
-        internal id. `let_in` says that `early_refusal` has admitted it already."""
+        """Accept a request that was completely received `age_ns` ago: from now on an answer is owed. Returns its
+        internal id. `admitted` says that `early_refusal` has admitted it already."""
         self._accepted += 1
         tid = f"{self._accepted:016x}"
         cls, ttl_ns, *rest, upgrade = info
@@ -191,14 +191,14 @@
         self._calls[tid] = _Call(exchange, cls, now + ttl_ns)
         if self._sweep is None:
             self._schedule_sweep()
-        place = 0.0
+        priority = 0.0
         if self.observer is not None:
-            place = self.observer.place(name, cls, info.tenant, info.retry)
-        self._handle(RequestReceived(tid, cls, ttl_ns, *rest, age_ns, let_in, upgrade, place), now)
+            priority = self.observer.assign_priority(name, cls, info.tenant, info.retry)
+        self._handle(RequestReceived(tid, cls, ttl_ns, *rest, age_ns, admitted, upgrade, priority), now)
         return tid
 
     def shut_down_by(self, at: float) -> None:
-        """Answers all open requests, and those that are still accepted, by `at` on the loop's clock.
+        """Answer all open requests, and those that are still accepted, by `at` on the loop's clock.
 
         Requests that cannot be served by then are refused if they never ran, and fail otherwise.
         """
@@ -211,7 +211,7 @@
         self._handle(Shutdown(self._shutdown_ns), now)
 
     def client_left(self, tid: str) -> None:
-        """Cancels a request whose client has left, and closes the connections of its attempts."""
+        """Cancel a request whose client has left, and close the connections of its attempts."""
         call = self._calls.get(tid)
         if call is None or call.over:
             return
@@ -222,28 +222,28 @@
         self._remove_if_done(tid, call)
 
     def update_servers(self, event: ServerListUpdate) -> None:
-        """Passes an update of the server list on to the balancer."""
+        """Pass an update of the server list on to the balancer."""
         self._handle(event)
 
     def report_unresponsive(self, server: str) -> None:
-        """Reports that a server does not respond, on evidence other than attempts."""
+        """Report that a server does not respond, on evidence other than attempts."""
         self._handle(ServerUnresponsive(server))
 
     def handle_event(self, event: Event) -> None:
-        """Passes an event on to the balancer, such as the tier's view of servers or this sidecar's share of a
+        """Pass an event on to the balancer, such as the tier's view of servers or this sidecar's share of a
         limit."""
         self._handle(event)
 
     def demand(self) -> dict[tuple[int, bool], int]:
-        """Returns how much of each limit was requested since the last call; see `Balancer.demand`."""
+        """Return how much of each limit was requested since the last call; see `Balancer.demand`."""
         return self._balancer.demand()
 
     def adjust_held_connections(self, server: str, change: int) -> None:
-        """Reports that `change` more connections of another protocol are open to a server, or fewer."""
+        """Report that `change` more connections of another protocol are open to a server, or fewer."""
         self._handle(UpgradedConnections(server, change))
 
     def receive_gossip(self, blob: bytes) -> None:
-        """Passes a gossip message from another sidecar on to the balancer."""
+        """Pass a gossip message from another sidecar on to the balancer."""
         self._handle(PeerMessage(blob))
 
     def _schedule_sweep(self) -> None:
@@ -251,7 +251,7 @@
         self._sweep = self.wheel.call_at(loop.time() + SWEEP_S, self._answer_overdue)
 
     def _answer_overdue(self) -> None:
-        """Answers requests that the balancer has left unanswered past their deadline, so that a bug in it does
+        """Answer requests that the balancer has left unanswered past their deadline, so that a bug in it does
         not leave a client waiting.
 
         A periodic check of all open requests replaces a timer for each, which would be set and cancelled with
@@ -292,8 +292,8 @@
                 call = self._calls.get(tid)
                 if call is not None and attempt in call.attempts:
                     call.attempts[attempt].cancel()
-            case SetTimer(in_ns, tag):
-                asyncio.get_running_loop().call_later(in_ns / 1e9, self._handle, TimerFired(tag))
+            case SetTimer(delay_ns, tag):
+                asyncio.get_running_loop().call_later(delay_ns / 1e9, self._handle, TimerFired(tag))
             case SendToPeer(peer, blob):
                 self._send_gossip(peer, blob)
             case Subscribe():
@@ -318,7 +318,7 @@
         call.attempts[number] = self._upstream.attempt(action.server, call.exchange.request, limits, done)
 
     def _may_repeat(self, action: Submit, call: _Call, now: int) -> bool:
-        """Returns whether a further attempt is safe. If not, a violation is reported and the attempt does not
+        """Return whether a further attempt is safe. If not, a violation is reported and the attempt does not
         start."""
         known = 0 <= call.cls < len(self._classes)
         cls = self._classes[call.cls] if known else replace(self._classes[0], repeat="single_shot")
@@ -329,58 +329,60 @@
         return False
 
     def _client_id(self, tid: str) -> str:
-        """Returns the id that the client gave a request."""
+        """Return the id that the client gave a request."""
         call = self._calls.get(tid)
         return call.exchange.trace_id.decode("latin-1") if call is not None else tid
 
     def _attempt_ended(self, action: Submit, call: _Call, number: int, sent_ns: int, outcome: Outcome) -> None:
-        """Reports the outcome of an attempt to the balancer, and answers the client if the outcome settles the
+        """Report the outcome of an attempt to the balancer, and answer the client if the outcome settles the
         request."""
         del call.attempts[number]
         tid = action.tid
         if self.tracing:
-            log.debug("request %s: attempt %d ended: %s", self._client_id(tid), number, outcome.how.name)
-        if (answer := outcome.answer) is not None:
-            if answer.switched is not None:
-                answer = answer._replace(switched=answer.switched._replace(name=action.server))
+            log.debug("request %s: attempt %d ended: %s", self._client_id(tid), number, outcome.status.name)
+        if (response := outcome.response) is not None:
+            if response.switched is not None:
+                response = response._replace(switched=response.switched._replace(name=action.server))
             if not call.over:
-                self._close(call, answer)
-                call.exchange.finish(answer)
-            elif answer.switched is not None:
-                answer.switched.sock.close()  # the client has left
-        elif not call.ran_at_ns and outcome.how not in NOT_EXECUTED:
+                self._close(call, response)
+                call.exchange.finish(response)
+            elif response.switched is not None:
+                response.switched.sock.close()  # the client has left
+        elif not call.ran_at_ns and outcome.status not in NOT_EXECUTED:
             call.ran_at_ns = sent_ns
         if self.on_outcome is not None:
-            self.on_outcome(action.server, outcome.how)
+            self.on_outcome(action.server, outcome.status)
         if self.on_attempt is not None:
-            self.on_attempt(action.server, outcome.how, call.cls, sent_ns)
+            self.on_attempt(action.server, outcome.status, call.cls, sent_ns)
         now = self._clock.now()
         elapsed_ns = now - sent_ns
-        lag_ns = outcome.lag_ns or elapsed_ns
-        own_ns = max(0, elapsed_ns - lag_ns)
-        event = AttemptEnded(tid, outcome.how, lag_ns, action.server, number, call.over, outcome.load, own_ns)
+        latency_ns = outcome.latency_ns or elapsed_ns
+        local_ns = max(0, elapsed_ns - latency_ns)
+        event = AttemptEnded(
+            tid, outcome.status, latency_ns, action.server, number, call.over, outcome.load, local_ns
+        )
         if self.observer is not None:
-            self.observer.outcome(event, call.cls)
+            self.observer.on_attempt_ended(event, call.cls)
         self._handle(event, now)
         self._remove_if_done(tid, call)
 
-    def _finish(self, tid: str, answer: HttpResponse) -> None:
+    def _finish(self, tid: str, response: HttpResponse) -> None:
         call = self._calls.get(tid)
         if call is None or call.over:
             return
-        self._close(call, answer)
+        self._close(call, response)
         if self.tracing:
-            log.debug("request %s: answered with %d without a server", self._client_id(tid), answer.status)
-        call.exchange.finish(answer)
+            log.debug("request %s: answered with %d without a server", self._client_id(tid), response.status)
+        call.exchange.finish(response)
         self._remove_if_done(tid, call)
 
-    def _close(self, call: _Call, answer: HttpResponse | None) -> None:
-        """Ends a request and cancels its remaining attempts."""
+    def _close(self, call: _Call, response: HttpResponse | None) -> None:
+        """End a request and cancel its remaining attempts."""
         call.over = True
         if self.on_completed is not None:
-            self.on_completed(call.cls, answer)
+            self.on_completed(call.cls, response)
         if self.observer is not None:
-            self.observer.ended(answer is not None and answer.status == 200)
+            self.observer.on_request_ended(response is not None and response.status == 200)
         for attempt in call.attempts.values():
             attempt.cancel()
 
@@ -391,10 +393,10 @@
 
 @lru_cache(maxsize=64)
 def _encoded_refusal(hold_off_ns: int) -> bytes:
-    answer = refusal(hold_off_ns)
-    return encode(b"HTTP/1.1 %d " % answer.status, [*answer.headers, (b"content-length", b"0")], b"")
+    response = refusal(hold_off_ns)
+    return encode(b"HTTP/1.1 %d " % response.status, [*response.headers, (b"content-length", b"0")], b"")
 
 
 def refusal(hold_off_ns: int) -> HttpResponse:
-    """Returns a refusal that tells the client when to retry."""
+    """Return a refusal that tells the client when to retry."""
     return HttpResponse(503, [(b"retry-after", b"%.3f" % (hold_off_ns / 1e9))] if hold_off_ns > 0 else [])
--- a/covetally/net/timer_wheel.py
+++ b/covetally/net/timer_wheel.py
@@ -29,7 +29,7 @@
         self.slot = slot
 
     def cancel(self) -> None:
-        """Cancels the timer; does nothing if it has fired."""
+        """Cancel the timer; does nothing if it has fired."""
         self.slot.pop(self, None)
         self.callback = _cancelled  # an owner that keeps its timer would otherwise form a reference cycle
 
@@ -44,7 +44,7 @@
         self._next_slot = 0
 
     def call_at(self, when: float, callback: Callable[[], None]) -> Timer:
-        """Schedules a callback at `when` or up to SLOT_WIDTH_S later. Within a slot callbacks run in the order in
+        """Schedule a callback at `when` or up to SLOT_WIDTH_S later. Within a slot callbacks run in the order in
         which they were scheduled."""
         number = int(when / SLOT_WIDTH_S) + 1
         slot = self._slots.get(number)
--- a/covetally/net/upstream.py
+++ b/covetally/net/upstream.py
@@ -40,10 +40,10 @@
         self._distrust_until = 0.0
         self._connected_at = 0.0  # when the last connection was established
         self._servers: dict[str, Server] = {}
-        self.apply_settings(settings, limit)
+        self.reconfigure(settings, limit)
 
-    def apply_settings(self, settings: Settings, limit: int) -> None:
-        """Applies changed settings and the limit on open connections."""
+    def reconfigure(self, settings: Settings, limit: int) -> None:
+        """Apply changed settings and the limit on open connections."""
         self._limit = limit
         self._idle_s = settings.limits.conn_idle_ns / 1e9 * IDLE_FRACTION
         self.connect_timeout_s = settings.limits.connect_timeout_ns / 1e9
@@ -54,13 +54,13 @@
         return self._open_count
 
     def addresses(self) -> list[tuple[str, Address]]:
-        """Returns the names and addresses of the servers on the list."""
+        """Return the names and addresses of the servers on the list."""
         return [(name, server.address) for name, server in self._servers.items()]
 
     # --- the server list ------------------------------------------------------------------------
 
     def update(self, entries: list[tuple[ServerEntry, Address]], full: bool) -> None:
-        """Applies an update of the server list; `full` means that servers not in it were removed."""
+        """Apply an update of the server list; `full` means that servers not in it were removed."""
         removed = self._servers.keys() - {entry.server for entry, _ in entries} if full else set()
         for entry, address in entries:
             server = self._servers.setdefault(entry.server, Server(address, entry.started_ns))
@@ -79,7 +79,7 @@
             self._drain(self._servers.pop(name))  # only attempts in progress still refer to it
 
     def _drain(self, server: Server) -> None:
-        """Sends nothing new to a server.
+        """Send nothing new to a server.
 
         Attempts that are not completely written are ended, so that their requests go to other servers. This does
         not depend on when the drain counts as notified or how long a connection would still take to establish.
@@ -97,14 +97,14 @@
             self._drop(server, next(iter(server.idle)))
 
     def _drop(self, server: Server, stream: Stream) -> None:
-        """Closes an idle connection."""
+        """Close an idle connection."""
         del server.idle[stream]
         stream.on_input = ignore_event
         stream.abort()
         self._open_count -= 1
 
     def add_idle(self, server: Server, stream: Stream) -> None:
-        """Adds the connection of a finished exchange to the idle pool. It is closed before the server's own idle
+        """Add the connection of a finished exchange to the idle pool. It is closed before the server's own idle
         timeout."""
         now = self.loop.time()
         server.idle[stream] = now
@@ -115,7 +115,7 @@
             server.idle_timer = self.wheel.call_at(now + self._idle_s, partial(self._close_expired, server))
 
     def _close_expired(self, server: Server) -> None:
-        """Closes connections that were idle for too long, and schedules itself for the next one.
+        """Close connections that were idle for too long, and schedule the next check.
 
         There is one timer for all idle connections of a server, because a timer for each would be set and
         cancelled with every request.
@@ -130,7 +130,7 @@
             self._drop(server, stream)
 
     def take_idle(self, server: Server) -> tuple[Stream, float, float] | None:
-        """Takes a usable idle connection out of the pool; None if there is none.
+        """Take a usable idle connection out of the pool; None if there is none.
 
         Returns the connection, the time that it was idle, and the time until it may be used. Of the connections
         that have been idle for SETTLE_S or longer it is the one that was idle for the shortest time; if there is
@@ -153,7 +153,7 @@
         return None
 
     def reserve_connection(self) -> bool:
-        """Reserves one of the limited number of connections; returns False if all are in use. At the limit the
+        """Reserve one of the limited number of connections; returns False if all are in use. At the limit the
         connection that has been idle for the longest time is closed."""
         if self._open_count >= self._limit:
             servers_with_idle = [server for server in self._servers.values() if server.idle]
@@ -165,11 +165,11 @@
         return True
 
     def release_connection(self) -> None:
-        """Releases a reserved connection that was closed or not established."""
+        """Release a reserved connection that was closed or not established."""
         self._open_count -= 1
 
     def classify_connect_error(self, server: Server, error: int | None) -> AttemptStatus:
-        """Returns the outcome for a connect that failed at once with this errno.
+        """Return the outcome for a connect that failed at once with this errno.
 
         A lack of resources on this machine (descriptors, memory, ports, a route) does not indicate a fault of the
         server. Otherwise every server would be put into backoff at a moment in which all connects fail here. If
@@ -187,16 +187,16 @@
         return AttemptStatus.CONNECT_FAILED if only_here else AttemptStatus.NOT_SENT
 
     def record_connected(self, server: Server) -> None:
-        """Records that a connection to the server was established."""
+        """Record that a connection to the server was established."""
         server.local_failures = 0
         self._connected_at = self.loop.time()
 
     def record_broken_idle(self) -> None:
-        """Records that an idle connection broke when it was reused: none is trusted for DISTRUST_S."""
+        """Record that an idle connection broke when it was reused: none is trusted for DISTRUST_S."""
         self._distrust_until = self.loop.time() + DISTRUST_S
 
     def last_byte_delay_s(self, idle_s: float) -> float:
-        """Returns how long the last byte of a request is held back on a connection that was idle for `idle_s`.
+        """Return how long the last byte of a request is held back on a connection that was idle for `idle_s`.
 
         Guards against idle connections that servers or middleboxes drop silently, or close while a request is on
         its way. A dead connection answers the first bytes with a reset, and as long as the last byte is not
@@ -213,7 +213,7 @@
     def attempt(
         self, name: str, request: Request, limits: AttemptLimits, done: Callable[[Outcome], None]
     ) -> Attempt:
-        """Sends the request once. `done` is called once with the outcome, but never from within this call or from
+        """Send the request once. `done` is called once with the outcome, but never from within this call or from
         within `cancel`.
 
         The connection is closed before a failure is reported, so that the policy never starts a second copy while
@@ -222,7 +222,7 @@
         return Attempt(self, self._servers.get(name), request, limits, done)
 
     def parse_load_report(self, text: bytes) -> Load:
-        """Parses a load report; returns an empty one if it is malformed."""
+        """Parse a load report; returns an empty one if it is malformed."""
         load: dict[str, float] = {}
         form, _, pairs = text.decode("latin-1").partition(" ")
         for pair in pairs.split(","):
--- a/covetally/overload/member.py
+++ b/covetally/overload/member.py
@@ -65,7 +65,7 @@
 
     # --- requests -------------------------------------------------------------------------------
 
-    def place(self, name: bytes | str, cls: int, tenant: int, retry: bool) -> float:
+    def assign_priority(self, name: bytes | str, cls: int, tenant: int, retry: bool) -> float:
         """A request's place in the one order; it counts as asked."""
         place = self._order.place(cls, rank(name), self.shares.within(tenant), retry)
         let_in = place < ladder.place(self.line.rung)
@@ -74,11 +74,11 @@
             self.refused[cls, ladder.name(self.line.rung)] += 1
         return place
 
-    def ended(self, served: bool) -> None:
+    def on_request_ended(self, served: bool) -> None:
         """A request has its answer."""
         self.pressure.ended(served)
 
-    def outcome(self, event: AttemptEnded, cls: int) -> None:
+    def on_attempt_ended(self, event: AttemptEnded, cls: int) -> None:
         """An attempt has ended."""
         aim = self._aims[cls] if 0 <= cls < len(self._aims) else self._aims[0]
         self.pressure.outcome(event, event.latency_ns > aim)
--- a/covetally/process.py
+++ b/covetally/process.py
@@ -301,7 +301,7 @@
         parts = Parts(
             self.clock, self.discovery,
             lambda entries: self._apply_update(ListUpdate(0, False, entries), "INCREMENTAL"),
-            self.sidecar.beliefs, self.sidecar.report_unresponsive,
+            self.sidecar.server_statuses, self.sidecar.report_unresponsive,
         )  # fmt: skip
         roster = Roster(plan, self.config.settings, parts)
         self.sidecar.on_outcome = roster.outcome
@@ -315,7 +315,9 @@
         elif plan is not None:
             self.discovery.stop()
             self.roster = self._made(plan)
-            self.roster.begin(self.upstream.addresses(), {b.server for b in self.sidecar.beliefs() if b.up})
+            self.roster.begin(
+                self.upstream.addresses(), {b.server for b in self.sidecar.server_statuses() if b.up}
+            )
             self.roster.start()
             if self.manager is not None:
                 self.roster.order(self.manager.orders.roster.value)
@@ -329,7 +331,7 @@
         """What is believed of the list of nodes and why, for operators."""
         if self.roster is not None:
             return self.roster.table()
-        up = {b.server for b in self.sidecar.beliefs() if b.up}
+        up = {b.server for b in self.sidecar.server_statuses() if b.up}
         nodes = [
             {"node": name, "address": "{}:{}".format(*address), "state": "up" if name in up else "leaving"}
             for name, address in sorted(self.upstream.addresses())
@@ -390,9 +392,9 @@
         self.peers.set_peers(config.peers, config.peers_all)
         self._retier()
         self._respeak()
-        self.sidecar.apply_settings(config.settings)
+        self.sidecar.reconfigure(config.settings)
         self.sidecar.tracing = log.isEnabledFor(logging.DEBUG)
-        self.upstream.apply_settings(config.settings, config.server_connections)
+        self.upstream.reconfigure(config.settings, config.server_connections)
         self.frontend.retune(config.settings, config.client_connections, config.body_memory)
         self._rewire()
 
