--- a/covetally/net/request_validation.py
+++ b/covetally/net/request_validation.py
@@ -7,7 +7,7 @@
 
 from covetally.interface import SECOND, Settings
 from covetally.net.http_message import HOP_BY_HOP, MAX_BODY, Fields, Headers, RequestHead, end_to_end
-from covetally.net.sidecar import Arrival
+from covetally.net.sidecar import RequestInfo
 
 READY_PATH = b"/_health"
 MAX_COST_NS = 60 * SECOND  # larger size hints of clients are cut to this
@@ -59,7 +59,7 @@
         self._classes = {c.name.encode(): (i, c) for i, c in enumerate(settings.classes)}
         self._tenants = {t.name.encode(): i for i, t in enumerate(settings.tenants)}
 
-    def validate(self, head: RequestHead) -> tuple[Headers, Arrival | None, bytes]:
+    def validate(self, head: RequestHead) -> tuple[Headers, RequestInfo | None, bytes]:
         """The headers to forward, the parameters of the request for the balancer, and its id. The parameters are
         None for a request of the health check."""
         method, target, raw, values = head
@@ -86,7 +86,7 @@
         if not expires_s:
             raise Rejected(400, "X-Expires-In missing or not a positive number")
         ttl_ns, hint = int(expires_s * SECOND), get(b"x-size-hint")
-        arrival = Arrival(
+        arrival = RequestInfo(
             index,
             ttl_ns if ttl_ns < cls.deadline_ns else cls.deadline_ns,
             min(int(_positive_number(hint) * 1000), MAX_COST_NS) if hint else 0,
--- a/covetally/net/stream.py
+++ b/covetally/net/stream.py
@@ -17,7 +17,7 @@
 from collections.abc import Callable
 
 from covetally.net.http_message import Broken, MessagePart, MessageParser, ParserType
-from covetally.net.system_errors import TRANSIENT_TRANSFER
+from covetally.net.system_errors import TRANSIENT_IO_ERRORS
 
 log = logging.getLogger(__name__)
 
@@ -105,7 +105,7 @@
         except (BlockingIOError, InterruptedError):
             return
         except OSError as error:
-            if error.errno in TRANSIENT_TRANSFER:
+            if error.errno in TRANSIENT_IO_ERRORS:
                 return
             self.abort()
         else:
@@ -135,7 +135,7 @@
         except (BlockingIOError, InterruptedError):
             return
         except OSError as error:
-            if error.errno in TRANSIENT_TRANSFER:
+            if error.errno in TRANSIENT_IO_ERRORS:
                 return
             self.abort()
             callback = self.on_input
@@ -256,7 +256,7 @@
         except (BlockingIOError, InterruptedError):
             count = 0
         except OSError as error:
-            if error.errno not in TRANSIENT_TRANSFER:
+            if error.errno not in TRANSIENT_IO_ERRORS:
                 self.abort()
                 raise Broken(f"connection lost while writing: {error}") from None
             count = 0
