--- a/covetally/cli/look.py
+++ b/covetally/cli/look.py
@@ -12,7 +12,7 @@
 from covetally.cli import client
 from covetally.cli.client import Target
 from covetally.cli.shared import SELECTOR, ago, connected, console, print_table, quoted, rich_table, show_json
-from covetally.fleet.document import difference, from_table
+from covetally.fleet.document import difference, from_dicts
 
 
 @click.command("list")
@@ -124,7 +124,7 @@
         old = None
     after = client.call(where, "GET", f"/v1/revisions/{new}")
     before = client.call(where, "GET", f"/v1/revisions/{after['parent'] if old is None else old}")
-    changes = difference(from_table(before["layers"]), from_table(after["layers"]))
+    changes = difference(from_dicts(before["layers"]), from_dicts(after["layers"]))
     if as_json:
         show_json({"old": before["number"], "new": after["number"], "changes": changes})
         return
--- a/covetally/fleet/agent.py
+++ b/covetally/fleet/agent.py
@@ -18,17 +18,17 @@
 from covetally.fleet import registry, rollout
 from covetally.fleet.asks import PING_S, Asks
 from covetally.fleet.audit import Audit
-from covetally.fleet.document import changed_keys, taken_back
+from covetally.fleet.document import changed_keys, reverted_layer
 from covetally.fleet.drafts import Drafts, recovered_document
 from covetally.fleet.drains import Drains, Wanted
 from covetally.fleet.freezes import Freezes
-from covetally.fleet.ledger import Ledger
+from covetally.fleet.agent_state import AgentState
 from covetally.fleet.links import Link
-from covetally.fleet.orders import Command, OrderBook
-from covetally.fleet.refused import Refused
+from covetally.fleet.orders import Command, DesiredOrders
+from covetally.fleet.errors import AgentRefusedError
 from covetally.fleet.registry import Instance
-from covetally.fleet.rollout import Member, Phase, Plan, Restart, Rollout, Send, State, UndoWanted
-from covetally.fleet.running import Draft, Running
+from covetally.fleet.rollout import Member, Phase, Plan, Restart, Rollout, Send, MemberState, UndoRequested
+from covetally.fleet.rollout_record import Draft, RolloutRecord
 from covetally.fleet.selector import Selector, parse
 from covetally.fleet.steady_clock import SteadyClock
 from covetally.fleet.store import CannotKeepError, Revision, RolloutRow, Store
@@ -58,20 +58,22 @@
         self.instances: dict[str, Instance] = {
             name: registry.from_row(name, row) for name, row in store.instances().items()
         }
-        self._outbox: list[tuple[Running, Send | Restart]] = []  # to be carried out once the store has it all
+        self._outbox: list[
+            tuple[RolloutRecord, Send | Restart]
+        ] = []  # to be carried out once the store has it all
         self._cannot_keep = False  # the disk did not take what was last written
         self._flush_timer: asyncio.TimerHandle | None = None
         self._tick_timer: asyncio.TimerHandle | None = None
         self.supervised: Callable[[], list[dict[str, Any]]] = list
         self.watchers = Watchers(self._rollout_table)
-        self._ledger = Ledger(store, self.instances, self.watchers.changed)
+        self._state = AgentState(store, self.instances, self.watchers.changed)
         self.started = time.time()
         self._recover_until = 0.0
         self.recovered = store.get("recovered") == "yes"
         self.freezes = Freezes(store.get("freezes"))
         self.clock = SteadyClock(store.get("clock"))
         self._keep_clock()
-        self.orders = OrderBook(store)
+        self.orders = DesiredOrders(store)
         self.asks = Asks(self.instances, self.orders, self.clock)
         self.drafts = Drafts(store, self.instances, self.asks)
         self.drains = Drains(store, self.asks, audit.write, self.clock)
@@ -79,7 +81,7 @@
 
     def _keep_clock(self) -> None:
         with self._store.transaction():
-            self._store.set("clock", self.clock.text())
+            self._store.set("clock", self.clock.to_json())
 
     # --- beginning and end ----------------------------------------------------------------------
 
@@ -90,10 +92,10 @@
             self._recover_until = now + self._recover_s
             asyncio.get_running_loop().call_later(self._recover_s, self._recover)
         for row in reversed(self._store.rollouts(limit=MAX_ENDED)):
-            found = rollout.from_tables(row.number, row.head, self._store.members(row.number), now)
+            found = rollout.from_rows(row.number, row.head, self._store.members(row.number), now)
             queued = bool(row.head.get("queued"))
-            self._ledger.running[row.number] = Running(found, row, parse(row.selector), queued)
-        for running in list(self._ledger.running.values()):
+            self._state.rollouts[row.number] = RolloutRecord(found, row, parse(row.selector), queued)
+        for running in list(self._state.rollouts.values()):
             if running.active and not running.queued:
                 self._do(running, running.rollout.start(now))
         self._opened = True
@@ -133,7 +135,7 @@
         old = known.link
         try:
             await self.asks.ask_link(known, {"t": "ask", "what": "ping"}, PING_S)
-        except Refused:
+        except AgentRefusedError:
             if old is not None:
                 old.end("silent while another came under its name")
             if not link.closed:
@@ -150,26 +152,26 @@
         old, instance.link = instance.link, link
         if old is not None and not old.closed:
             old.end("another link of the same instance")
-        instance.labels = registry.sane_labels(hello["labels"])
+        instance.labels = registry.valid_labels(hello["labels"])
         instance.boot, instance.pid, instance.version = hello["boot"], hello["pid"], hello["version"][:63]
         instance.revision, instance.values = hello["revision"], hello["values"]
         instance.keeps, instance.may_restart = bool(hello.get("keeps")), bool(hello.get("may_restart"))
         instance.left, instance.note = "", ""
         instance.history.clear()
-        instance.due = (-1, "")  # its labels may be others
-        instance.offered = ("", "")
+        instance.assigned_digest = (-1, "")  # its labels may be others
+        instance.last_offered = ("", "")
         pending = str(hello.get("pending", ""))
         beat = {"digest": hello["digest"], "pending": pending, "counts": {}, "state": _state_of(hello)}
-        instance.beat(self._now(), self.clock.now(), beat)
-        self.orders.reported(instance.name, hello.get("orders"), self.clock.now())
-        link.welcome(self.orders.of(instance.name))
-        self._ledger.dirty.add(instance.name)
+        instance.record_heartbeat(self._now(), self.clock.now(), beat)
+        self.orders.reconcile(instance.name, hello.get("orders"), self.clock.now())
+        link.welcome(self.orders.desired(instance.name))
+        self._state.unsaved_instances.add(instance.name)
         epoch = hello.get("epoch")
-        self.drains.hello(epoch if isinstance(epoch, int) else 0)
+        self.drains.observe_epoch(epoch if isinstance(epoch, int) else 0)
         failed, reason = str(hello.get("failed", "")), str(hello.get("reason", ""))[:500]
-        for running in self._ledger.running.values():
+        for running in self._state.rollouts.values():
             if instance.name in running.rollout.members and not running.queued:
-                actions = running.rollout.connected(
+                actions = running.rollout.on_connected(
                     self._now(), instance.name, instance.boot, instance.digest, instance.holds, failed, reason
                 )
                 self._do(running, actions)
@@ -184,14 +186,16 @@
         now = self._now()
         match message["t"]:
             case "beat":
-                instance.beat(now, self.clock.now(), message)
+                instance.record_heartbeat(now, self.clock.now(), message)
                 link.send({"t": "seen"})
                 self._compare_orders(instance, message)
                 for running in self._of(instance):
                     totals = instance.totals()
                     self._do(
                         running,
-                        running.rollout.beat(now, instance.name, instance.digest, instance.holds, *totals),
+                        running.rollout.on_heartbeat(
+                            now, instance.name, instance.digest, instance.holds, *totals
+                        ),
                     )
                 self._place(instance)
             case "ack":
@@ -201,8 +205,8 @@
             case "bye":
                 instance.left = str(message["reason"])[:200] or "ended"
                 for running in self._of(instance):
-                    self._do(running, running.rollout.left(now, instance.name, instance.left))
-                self._ledger.dirty.add(instance.name)
+                    self._do(running, running.rollout.on_left(now, instance.name, instance.left))
+                self._state.unsaved_instances.add(instance.name)
                 self._soon()
 
     def _compare_orders(self, instance: Instance, beat: Message) -> None:
@@ -210,7 +214,7 @@
         held = beat.get("orders")
         if isinstance(held, int):
             self.asks.restore(instance, held)
-        elif self.orders.of(instance.name).draining and beat["state"] == "serving":
+        elif self.orders.desired(instance.name).draining and beat["state"] == "serving":
             self.asks.restore(instance, 0)  # of a version that keeps no orders
 
     def _acked(self, instance: Instance, message: Message) -> None:
@@ -220,7 +224,7 @@
         instance.digest, instance.keeps = message["held"], bool(message.get("keeps"))
         instance.holds = offered if outcome == "needs_restart" else ""
         if outcome != "took":
-            instance.answered = (instance.boot, offered)
+            instance.last_answered = (instance.boot, offered)
         if outcome == "took":
             instance.revision, instance.note = message["revision"], ""
         elif outcome == "refused":
@@ -228,9 +232,9 @@
             instance.note = f"refused revision {message['revision']}: {text}"[:500]
         else:
             instance.note = f"revision {message['revision']} waits for a restart: {', '.join(keys)}"[:500]
-        self._ledger.dirty.add(instance.name)
+        self._state.unsaved_instances.add(instance.name)
         for running in self._of(instance):
-            actions = running.rollout.acked(
+            actions = running.rollout.on_answer(
                 self._now(), instance.name, offered, outcome, instance.digest, errors, keys, instance.keeps
             )
             self._do(running, actions)
@@ -243,14 +247,14 @@
             return
         instance.link = None
         for running in self._of(instance):
-            self._do(running, running.rollout.lost(self._now(), instance.name, reason))
-        self._ledger.dirty.add(instance.name)
+            self._do(running, running.rollout.on_connection_lost(self._now(), instance.name, reason))
+        self._state.unsaved_instances.add(instance.name)
         self._soon()
         self.watchers.tell({"instance": instance.name, "connected": False, "reason": reason})
 
-    def _of(self, instance: Instance) -> list[Running]:
+    def _of(self, instance: Instance) -> list[RolloutRecord]:
         """The rollouts that an instance is in and that may still have to know of it."""
-        return [r for r in self._ledger.running.values() if not r.queued and instance.name in r.rollout.members]
+        return [r for r in self._state.rollouts.values() if not r.queued and instance.name in r.rollout.members]
 
     # --- what an instance in no rollout is to have -------------------------------------------------
 
@@ -259,33 +263,36 @@
         if not self._opened or self._recovering() or not instance.connected:
             return
         if instance.assigned < 0:
-            instance.assigned = self._ledger.settled
-            self._ledger.dirty.add(instance.name)
-            for running in list(self._ledger.running.values()):
+            instance.assigned = self._state.default_revision
+            self._state.unsaved_instances.add(instance.name)
+            for running in list(self._state.rollouts.values()):
                 r, meant = running.rollout, running.selector.matches(instance.name, instance.labels)
                 going = running.active and not running.queued and r.phase is not Phase.UNDOING
                 if going and r.kind == "change" and meant:
-                    self._do(running, r.join(self._now(), self._member(instance, running.row.revision, 0)))
-        if any(r.active and instance.name in r.rollout.members for r in self._ledger.running.values()):
+                    self._do(running, r.add_member(self._now(), self._member(instance, running.row.revision, 0)))
+        if any(r.active and instance.name in r.rollout.members for r in self._state.rollouts.values()):
             return
-        if instance.due[0] != instance.assigned:
-            instance.due = (instance.assigned, str(self.drafts.wanted(instance).get("digest", "")))
-        wanted = instance.due[1]
+        if instance.assigned_digest[0] != instance.assigned:
+            instance.assigned_digest = (
+                instance.assigned,
+                str(self.drafts.desired_settings(instance).get("digest", "")),
+            )
+        wanted = instance.assigned_digest[1]
         if wanted == failed:
             instance.note = f"revision {instance.assigned}: {reason}"
-            self._ledger.dirty.add(instance.name)
-            instance.answered = (instance.boot, wanted)
+            self._state.unsaved_instances.add(instance.name)
+            instance.last_answered = (instance.boot, wanted)
         if not wanted:
             return
         if instance.digest == wanted and not instance.holds:
             if instance.note and not failed:
                 instance.note = ""
-                self._ledger.dirty.add(instance.name)
+                self._state.unsaved_instances.add(instance.name)
                 self._soon()
             return
-        if (instance.boot, wanted) in (instance.offered, instance.answered):
+        if (instance.boot, wanted) in (instance.last_offered, instance.last_answered):
             return  # once to each link; and what this process refused, or waits with, it would refuse again
-        instance.offered = (instance.boot, wanted)
+        instance.last_offered = (instance.boot, wanted)
         log.info("%s is brought to revision %d", instance.name, instance.assigned)
         self._offer(instance, instance.assigned)
 
@@ -318,10 +325,10 @@
         with self._store.transaction():
             self._store.add_revision(revision)
             self._store.set("recovered", "yes")
-            self._ledger.settled = number
+            self._state.default_revision = number
             for instance in reports:
                 instance.assigned = number
-                self._ledger.dirty.add(instance.name)
+                self._state.unsaved_instances.add(instance.name)
             self._save()
         self.recovered = True
         log.warning("the store was lost: revision %d %s", number, text)
@@ -329,10 +336,10 @@
 
     # --- carrying out -----------------------------------------------------------------------------
 
-    def _do(self, running: Running, actions: list[Any]) -> None:
-        self._ledger.todo += [(running, action) for action in actions]
-        running.undo_due |= any(isinstance(action, UndoWanted) for action in actions)
-        if actions or running.rollout.dirty:
+    def _do(self, running: RolloutRecord, actions: list[Any]) -> None:
+        self._state.pending_actions += [(running, action) for action in actions]
+        running.undo_requested |= any(isinstance(action, UndoRequested) for action in actions)
+        if actions or running.rollout.unsaved_members:
             self._soon()
 
     def _soon(self) -> None:
@@ -375,26 +382,26 @@
     def _decide(self) -> None:
         """What follows from what has happened: instances to be told something, rollouts that end or begin."""
         self._ended_ones()
-        while self._ledger.todo:
-            running, action = self._ledger.todo[0]
-            if isinstance(action, UndoWanted):
+        while self._state.pending_actions:
+            running, action = self._state.pending_actions[0]
+            if isinstance(action, UndoRequested):
                 self._undo_by_itself(running, action.reason)  # it stays to be done where it cannot be kept
-                self._ledger.todo.remove((running, action))
+                self._state.pending_actions.remove((running, action))
             else:
-                self._ledger.todo.pop(0)
+                self._state.pending_actions.pop(0)
                 self._outbox.append((running, action))
                 if isinstance(action, Send) and action.name in self.instances:
                     row = running.row
                     assigned = row.undo_revision if action.undo else row.revision
                     self.instances[action.name].assigned = assigned
-                    self._ledger.dirty.add(action.name)
-            if not self._ledger.todo:
+                    self._state.unsaved_instances.add(action.name)
+            if not self._state.pending_actions:
                 self._ended_ones()
 
     def _save(self) -> None:
-        self._ledger.save(self._now())
+        self._state.save(self._now())
 
-    def _carry_out(self, running: Running, action: Send | Restart) -> None:
+    def _carry_out(self, running: RolloutRecord, action: Send | Restart) -> None:
         instance = self.instances.get(action.name)
         if instance is None:
             return
@@ -410,16 +417,16 @@
             values = revision.document.effective(instance.name, instance.labels)
             instance.link.send({"t": "apply", "revision": number, "digest": digest(values), "values": values})
 
-    async def _restart(self, running: Running, instance: Instance) -> None:
+    async def _restart(self, running: RolloutRecord, instance: Instance) -> None:
         if self.asks.restarter(instance.name):
             return
         try:
             answer = await self.asks.ask_link(instance, {"t": "do", "what": "restart"})
             denied = str(answer.get("error", ""))
-        except Refused:
+        except AgentRefusedError:
             return  # its deadline, or its next hello, will tell
         if denied:
-            self._do(running, running.rollout.denied(self._now(), instance.name, denied))
+            self._do(running, running.rollout.on_restart_refused(self._now(), instance.name, denied))
 
     def _arm(self) -> None:
         if self._tick_timer is not None:
@@ -428,7 +435,7 @@
         now = self._now()
         dues = [
             d
-            for r in self._ledger.running.values()
+            for r in self._state.rollouts.values()
             if not r.queued and (d := r.rollout.next_due(now)) is not None
         ]
         if dues:
@@ -437,34 +444,34 @@
     def _tick(self) -> None:
         self._tick_timer = None
         now = self._now()
-        for running in list(self._ledger.running.values()):
+        for running in list(self._state.rollouts.values()):
             if running.active and not running.queued:
                 self._do(running, running.rollout.tick(now))
         self._try_to_flush()
 
     def _ended_ones(self) -> None:
         """Draw the line under rollouts that have ended, and begin those that waited for them."""
-        for running in list(self._ledger.running.values()):
+        for running in list(self._state.rollouts.values()):
             r, row = running.rollout, running.row
             if running.queued or not r.ended or row.ended:
                 continue
             row.ended = True
             revision = row.undo_revision if r.phase is Phase.UNDONE else row.revision
             if r.kind == "change" and r.phase in (Phase.DONE, Phase.INCOMPLETE, Phase.UNDONE):
-                self._ledger.settled = max(revision, self._ledger.settled)
+                self._state.default_revision = max(revision, self._state.default_revision)
                 for member in r.members.values():
-                    if member.state is not State.REFUSED and member.name in self.instances:
+                    if member.state is not MemberState.REFUSED and member.name in self.instances:
                         self.instances[member.name].assigned = revision
-                        self._ledger.dirty.add(member.name)
+                        self._state.unsaved_instances.add(member.name)
             missing = [m.name for m in r.missing()]
             log.info("rollout %d: %s, %d missing", r.number, r.phase.value, len(missing))
             self._audit.write(
                 "agent", "rollout ended", rollout=r.number, phase=r.phase.value, missing=missing[:1000]
             )
-        old = [n for n, r in self._ledger.running.items() if not r.active]
+        old = [n for n, r in self._state.rollouts.items() if not r.active]
         for number in old[:-MAX_ENDED]:
-            del self._ledger.running[number]
-        for running in list(self._ledger.running.values()):
+            del self._state.rollouts[number]
+        for running in list(self._state.rollouts.values()):
             if running.queued and not self._overlapping(running.selector, running.rollout.number):
                 running.queued = False
                 self._begin(running)
@@ -472,7 +479,7 @@
     # --- what operators ask for --------------------------------------------------------------------
 
     def select(self, text: str) -> list[Instance]:
-        """The instances that a selector means, by name; Refused if it is none."""
+        """The instances that a selector means, by name; AgentRefusedError if it is none."""
         selector = self._selector(text)
         found = [i for i in self.instances.values() if selector.matches(i.name, i.labels)]
         return sorted(found, key=lambda i: i.name)
@@ -481,36 +488,36 @@
         try:
             return parse(text)
         except ValueError as error:
-            raise Refused("bad_input", str(error)) from None
+            raise AgentRefusedError("bad_input", str(error)) from None
 
     def head(self) -> Revision:
         """The newest revision."""
         return self._store.head()
 
     def revision(self, number: int) -> Revision:
-        """One revision; Refused if there is none."""
+        """One revision; AgentRefusedError if there is none."""
         found = self._store.revision(number)
         if found is None:
-            raise Refused("unknown", f"there is no revision {number}")
+            raise AgentRefusedError("unknown", f"there is no revision {number}")
         return found
 
     def revisions(self) -> list[Revision]:
         """All revisions, the newest first."""
         return self._store.revisions()
 
-    def rollouts(self) -> list[Running]:
+    def rollouts(self) -> list[RolloutRecord]:
         """Those in memory, the newest first."""
-        return sorted(self._ledger.running.values(), key=lambda r: -r.rollout.number)
+        return sorted(self._state.rollouts.values(), key=lambda r: -r.rollout.number)
 
-    def running(self, number: int) -> Running:
-        """One rollout, from the store if it is old; Refused if there is none."""
-        if number in self._ledger.running:
-            return self._ledger.running[number]
+    def running(self, number: int) -> RolloutRecord:
+        """One rollout, from the store if it is old; AgentRefusedError if there is none."""
+        if number in self._state.rollouts:
+            return self._state.rollouts[number]
         row = self._store.rollout(number)
         if row is None:
-            raise Refused("unknown", f"there is no rollout {number}")
-        found = rollout.from_tables(number, row.head, self._store.members(number), self._now())
-        return Running(found, row, parse(row.selector))
+            raise AgentRefusedError("unknown", f"there is no rollout {number}")
+        found = rollout.from_rows(number, row.head, self._store.members(number), self._now())
+        return RolloutRecord(found, row, parse(row.selector))
 
     def tell_time(self) -> float:
         """The clock that rollouts run by."""
@@ -520,22 +527,22 @@
         self, who: str, parent: int, reason: str, selector: str, put: Mapping[str, Any] | None,
         set_: Mapping[str, Any], unset: list[str],
     ) -> Draft:  # fmt: skip
-        """See `Drafts.draft`; Refused while the agent recovers, too."""
+        """See `Drafts.draft`; AgentRefusedError while the agent recovers, too."""
         self._ready()
         return self.drafts.draft(who, parent, reason, self._selector(selector), put, set_, unset)
 
     def change(self, draft: Draft, who: str, reason: str, plan: Plan, overlap: str) -> dict[str, Any]:
-        """Write a draft as a revision and roll it out; Refused if somebody was first, or a rollout is in its
-        way."""
+        """Write a draft as a revision and roll it out; AgentRefusedError if somebody was first, or a rollout is in
+        its way."""
         self._ready()
-        self._not_frozen(draft.meant, who)
-        revision, meant, changes, affected = draft.revision, draft.meant, draft.changes, draft.affected
+        self._not_frozen(draft.selector, who)
+        revision, meant, changes, affected = draft.revision, draft.selector, draft.changes, draft.affected
         if revision.parent != self._store.head().number:  # while the instances were asked
             raise self.drafts.conflict(revision.parent, self._store.head())
         blocking = self._overlapping(meant)
         if blocking and overlap == "refuse":
             raise self._busy(blocking)
-        with self._ledger.all_or_nothing(*blocking):
+        with self._state.transaction(*blocking):
             self._store.add_revision(revision)
             if overlap == "supersede":
                 self._supersede(blocking)
@@ -549,15 +556,15 @@
         done = {"revision": number, "rollout": running.rollout.number, "changes": changes, "reason": reason}
         self._audit.write(who, "change", **done)
         self._try_to_flush()  # the revision and its rollout are kept already
-        return {"revision": number, "rollout": running.table(self._now()), "changes": changes}
+        return {"revision": number, "rollout": running.as_dict(self._now()), "changes": changes}
 
     def restart(self, who: str, reason: str, selector: str, plan: Plan, dry_run: bool) -> dict[str, Any]:
-        """Roll a restart out; Refused if that cannot be."""
+        """Roll a restart out; AgentRefusedError if that cannot be."""
         self._ready()
         meant = self._selector(selector)
         found = self.select(selector)
         if not found:
-            raise Refused("unknown", f"no instance is meant by {selector!r}")
+            raise AgentRefusedError("unknown", f"no instance is meant by {selector!r}")
         if not dry_run:
             self._not_frozen(meant, who)
         if dry_run:
@@ -565,16 +572,16 @@
         blocking = self._overlapping(meant)
         if blocking:
             raise self._busy(blocking)
-        with self._ledger.all_or_nothing():
+        with self._state.transaction():
             running = self._make("restart", self._store.head(), meant, who, reason, plan, found)
             self._begin(running)
             self._save()
         self._audit.write(who, "restart", rollout=running.rollout.number, selector=str(meant), reason=reason)
         self._try_to_flush()
-        return {"rollout": running.table(self._now())}
+        return {"rollout": running.as_dict(self._now())}
 
     def start_drain(self, who: str, wanted: Wanted, reason: str, selector: str) -> dict[str, Any]:
-        """Begin a drain order; Refused, or an error of `drainplan`, if that cannot be."""
+        """Begin a drain order; AgentRefusedError, or an error of `drainplan`, if that cannot be."""
         self._ready()
         meant = self._selector(selector)
         self._not_frozen(meant, who)
@@ -589,36 +596,38 @@
         with self._freezes_kept():
             made = self.freezes.add(selector, self.clock.now(), for_s, who, reason, through)
         self._audit.write(who, "freeze", freeze=made.number, selector=made.selector, for_s=for_s, reason=reason)
-        return self.freezes.table(self.clock.now())[0]
+        return self.freezes.as_dicts(self.clock.now())[0]
 
     def thaw(self, who: str, number: int) -> dict[str, Any]:
-        """End a freeze; Refused if it is not in force."""
+        """End a freeze; AgentRefusedError if it is not in force."""
         with self._freezes_kept():
             if self.freezes.lift(number, self.clock.now(), who) is None:
-                raise Refused("unknown", f"no freeze {number} is in force")
+                raise AgentRefusedError("unknown", f"no freeze {number} is in force")
         self._audit.write(who, "thaw", freeze=number)
-        return next(row for row in self.freezes.table(self.clock.now()) if row["number"] == number)
+        return next(row for row in self.freezes.as_dicts(self.clock.now()) if row["number"] == number)
 
     @contextlib.contextmanager
     def _freezes_kept(self) -> Iterator[None]:
         """Freezes that change in it are on disk after it; CannotKeepError, and as they were, if not."""
-        before = self.freezes.text()
+        before = self.freezes.to_json()
         try:
             with self._store.transaction():
                 yield
-                self._store.set("freezes", self.freezes.text())
+                self._store.set("freezes", self.freezes.to_json())
                 self._keep_clock()
         except CannotKeepError:
             self.freezes = Freezes(before)
             raise
 
     def _not_frozen(self, meant: Selector, who: str) -> None:
-        freeze = self.freezes.blocking(meant, who, self.clock.now())
+        freeze = self.freezes.find_blocking(meant, who, self.clock.now())
         if freeze is not None:
-            raise Refused("busy", f"{freeze.text(self.clock.now())}: cindersail freeze lift {freeze.number}")
+            raise AgentRefusedError(
+                "busy", f"{freeze.describe(self.clock.now())}: cindersail freeze lift {freeze.number}"
+            )
 
     def steer(self, who: str, number: int, what: str, reason: str) -> dict[str, Any]:
-        """Pause, resume, abort or undo a rollout; Refused where that means nothing."""
+        """Pause, resume, abort or undo a rollout; AgentRefusedError where that means nothing."""
         running = self.running(number)
         r, now = running.rollout, self._now()
         text = f"{what} by {who}" + (f": {reason}" if reason else "")
@@ -628,15 +637,15 @@
         elif running.queued and what == "abort":
             running.queued = False
             self._do(running, r.abort(now, text))
-        elif number in self._ledger.running and what in ("pause", "resume", "abort"):
+        elif number in self._state.rollouts and what in ("pause", "resume", "abort"):
             step = {"pause": lambda: r.pause(now, text), "resume": lambda: r.resume(now),
                     "abort": lambda: r.abort(now, text)}[what]  # fmt: skip
             self._do(running, step())
         if r.phase is phase:
-            raise Refused("conflict", f"rollout {number} is {phase.value}: there is nothing to {what}")
+            raise AgentRefusedError("conflict", f"rollout {number} is {phase.value}: there is nothing to {what}")
         self._audit.write(who, what, rollout=number, reason=reason)
         self.flush()
-        return {"rollout": running.table(self._now())}
+        return {"rollout": running.as_dict(self._now())}
 
     async def ask_all(self, selector: str, what: str) -> dict[str, Any]:
         """Ask all that a selector means; by name what each answered, or {"error": why it did not}."""
@@ -644,22 +653,22 @@
 
     async def order(self, command: Command, selector: str) -> list[dict[str, Any]]:
         """Drain or resume instances, or order their rosters; what each answered."""
-        if command.word == "drain":
+        if command.action == "drain":
             self._not_frozen(self._selector(selector), command.who)
         found = self.select(selector)
         names = [instance.name for instance in found][:1000]
-        self._audit.write(command.who, command.word, selector=selector, instances=names, reason=command.why)
+        self._audit.write(command.who, command.action, selector=selector, instances=names, reason=command.why)
         return list(await asyncio.gather(*(self.asks.do(instance, command) for instance in found)))
 
     def forget(self, who: str, name: str) -> None:
-        """Know nothing more of an instance that is away; Refused if it is not."""
+        """Know nothing more of an instance that is away; AgentRefusedError if it is not."""
         instance = self.instances.get(name)
         if instance is None:
-            raise Refused("unknown", f"there is no instance {name}")
+            raise AgentRefusedError("unknown", f"there is no instance {name}")
         if instance.connected:
-            raise Refused("conflict", f"{name} is connected: what is there cannot be forgotten")
+            raise AgentRefusedError("conflict", f"{name} is connected: what is there cannot be forgotten")
         for running in self._of(instance):
-            self._do(running, running.rollout.left(self._now(), name, f"forgotten by {who}"))
+            self._do(running, running.rollout.on_left(self._now(), name, f"forgotten by {who}"))
         with self._store.transaction():
             self._store.forget_instance(name)
             self.orders.forget(name)
@@ -673,20 +682,20 @@
         if self._recovering():
             left = self._recover_until - self._now()
             text = f"the store is new; instances are heard for {left:.0f} s more"
-            raise Refused("recovering", text, retry_s=left)
+            raise AgentRefusedError("recovering", text, retry_s=left)
 
-    def _busy(self, blocking: list[Running]) -> Refused:
+    def _busy(self, blocking: list[RolloutRecord]) -> AgentRefusedError:
         first = blocking[0]
         text = (
             f"rollout {first.rollout.number} by {first.row.author} ({first.row.selector or 'all'}) is "
             f"{first.rollout.phase.value}; wait for it, abort it, or ask to queue or to supersede"
         )
-        return Refused("busy", text, rollout=first.table(self._now()))
+        return AgentRefusedError("busy", text, rollout=first.as_dict(self._now()))
 
-    def _overlapping(self, meant: Selector, before: int = 1 << 62) -> list[Running]:
+    def _overlapping(self, meant: Selector, before: int = 1 << 62) -> list[RolloutRecord]:
         """Rollouts that have not ended and may mean the same instances, the oldest first."""
         found = [
-            r for r in self._ledger.running.values()
+            r for r in self._state.rollouts.values()
             if r.active and r.rollout.number < before and r.selector.overlaps(meant)
         ]  # fmt: skip
         return sorted(found, key=lambda r: r.rollout.number)
@@ -695,40 +704,40 @@
         target = self._store.revision(revision)
         assert target is not None
         wanted = digest(target.document.effective(instance.name, instance.labels))
-        before = self.drafts.wanted(instance).get("digest", digest({}))
+        before = self.drafts.desired_settings(instance).get("digest", digest({}))
         return Member(
             name=instance.name, target=wanted, before=before, wave=wave, has=instance.digest,
             holds=instance.holds, connected=instance.connected, boot=instance.boot, keeps=instance.keeps,
-            now=instance.totals(), base=instance.totals(), prior=instance.lately(self._now()),
+            now=instance.totals(), base=instance.totals(), prior=instance.recent_totals(self._now()),
         )  # fmt: skip
 
     def _make(
         self, kind: str, revision: Revision, meant: Selector, who: str, reason: str, plan: Plan,
         instances: list[Instance],
-    ) -> Running:  # fmt: skip
+    ) -> RolloutRecord:  # fmt: skip
         number = self._store.next_rollout()
-        while number in self._ledger.running:
+        while number in self._state.rollouts:
             number += 1
         by_name = {i.name: i for i in instances if not i.left or i.connected}
-        members = rollout.members(
+        members = rollout.build_members(
             plan, by_name, lambda name, wave: self._member(by_name[name], revision.number, wave)
         )
         made = Rollout(number, kind, plan, members, self._now())
         row = RolloutRow(number, revision.number, 0, str(meant), who, reason, time.time(), {}, False)
-        self._ledger.running[number] = running = Running(made, row, meant)
+        self._state.rollouts[number] = running = RolloutRecord(made, row, meant)
         return running
 
-    def _begin(self, running: Running) -> None:
+    def _begin(self, running: RolloutRecord) -> None:
         now = self._now()
         self._refresh(running)
         for member in running.rollout.members.values():
             instance = self.instances.get(member.name)
             if instance is not None:  # a queued one begins later than it was made
-                member.prior = instance.lately(now)
-                member.before = self.drafts.wanted(instance).get("digest", member.before)
+                member.prior = instance.recent_totals(now)
+                member.before = self.drafts.desired_settings(instance).get("digest", member.before)
         self._do(running, running.rollout.start(now))
 
-    def _refresh(self, running: Running) -> None:
+    def _refresh(self, running: RolloutRecord) -> None:
         """Let a rollout that has not been listening know how its members are."""
         for member in running.rollout.members.values():
             instance = self.instances.get(member.name)
@@ -736,51 +745,53 @@
                 member.connected, member.boot = instance.connected, instance.boot
                 member.has, member.holds = instance.digest, instance.holds
 
-    def _supersede(self, blocking: list[Running]) -> None:
+    def _supersede(self, blocking: list[RolloutRecord]) -> None:
         number = self._store.next_rollout()
         for running in blocking:
             running.queued = False
             self._do(running, running.rollout.supersede(self._now(), number))
 
-    def _undo(self, running: Running, who: str, reason: str) -> None:
+    def _undo(self, running: RolloutRecord, who: str, reason: str) -> None:
         r, row = running.rollout, running.row
         if r.kind == "restart":
-            raise Refused("bad_input", "a restart cannot be undone")
+            raise AgentRefusedError("bad_input", "a restart cannot be undone")
         if row.undo_revision or running.queued:
-            raise Refused("conflict", f"rollout {r.number} cannot be undone: it is {r.phase.value}")
+            raise AgentRefusedError("conflict", f"rollout {r.number} cannot be undone: it is {r.phase.value}")
         meant = running.selector
         head, mine, parent = self._store.head(), self._store.revision(row.revision), None
         if mine is not None:
             parent = self._store.revision(mine.parent)
         if mine is None or parent is None:
-            raise Refused("unknown", f"what was before revision {row.revision} is not known")
+            raise AgentRefusedError("unknown", f"what was before revision {row.revision} is not known")
         self._may_take_back(head, mine, parent, meant)
         others = [x for x in self._overlapping(meant) if x is not running]
         if any(not x.queued for x in others):
             raise self._busy([x for x in others if not x.queued])
         head = self._store.head()
-        made = head.document.replaced(meant, taken_back(head.document, mine.document, parent.document, meant))
+        made = head.document.with_layer(
+            meant, reverted_layer(head.document, mine.document, parent.document, meant)
+        )
         number = self.drafts.next_revision(head)
         text = f"undo of revision {mine.number}" + (f": {reason}" if reason else "")
         revision = Revision(number, head.number, time.time(), who, text, str(meant), made.digest(), made)
-        befores = {}
+        previous_digests = {}
         for name in r.members:
             instance = self.instances.get(name)
             labels = instance.labels if instance is not None else {}
-            befores[name] = digest(made.effective(name, labels))
-        with self._ledger.all_or_nothing(running, *others):
-            self._ledger.running[r.number] = running
+            previous_digests[name] = digest(made.effective(name, labels))
+        with self._state.transaction(running, *others):
+            self._state.rollouts[r.number] = running
             self._refresh(running)
             for queued in others:  # they were built on what is taken back
                 queued.queued = False
                 self._do(queued, queued.rollout.abort(self._now(), f"rollout {r.number} was undone"))
             self._store.add_revision(revision)
             row.undo_revision, row.ended = number, False
-            self._do(running, r.undo(self._now(), text, befores))
+            self._do(running, r.undo(self._now(), text, previous_digests))
             self._save()  # with its revision, or not at all
 
     def _may_take_back(self, head: Revision, mine: Revision, parent: Revision, meant: Selector) -> None:
-        """Refused, with the command that helps, where a later revision has changed the same keys."""
+        """AgentRefusedError, with the command that helps, where a later revision has changed the same keys."""
         layer, keys = mine.document.layer(meant), changed_keys(mine.document, parent.document, meant)
 
         def differs(other: Revision) -> bool:
@@ -794,23 +805,23 @@
         row = next((r for r in self.rollouts() if r.row.revision == later.number), None)
         remedy = f": cindersail rollout undo {row.rollout.number}" if row is not None else ""
         text = f"revision {later.number} by {later.author} has changed the same settings since; undo that first"
-        raise Refused("conflict", text + remedy, revisions=[later.table()])
+        raise AgentRefusedError("conflict", text + remedy, revisions=[later.as_dict()])
 
-    def _undo_by_itself(self, running: Running, reason: str) -> None:
-        running.undo_due = False
+    def _undo_by_itself(self, running: RolloutRecord, reason: str) -> None:
+        running.undo_requested = False
         try:
             self._undo(running, "agent", reason)
             self._audit.write("agent", "undo", rollout=running.rollout.number, reason=reason)
-        except Refused as error:
+        except AgentRefusedError as error:
             running.rollout.reason = f"{reason}; not undone: {error}"
 
     def _rollout_table(self, number: int) -> dict[str, Any] | None:
-        running = self._ledger.running.get(number)
-        return running.table(self._now()) if running is not None else None
+        running = self._state.rollouts.get(number)
+        return running.as_dict(self._now()) if running is not None else None
 
     def status(self) -> dict[str, Any]:
         """The agent in a few figures."""
-        active = [r for r in self._ledger.running.values() if r.active]
+        active = [r for r in self._state.rollouts.values() if r.active]
         return {
             "started": self.started, "instances": len(self.instances), "head": self._store.head().number,
             "connected": sum(1 for i in self.instances.values() if i.connected),
--- a/covetally/fleet/api.py
+++ b/covetally/fleet/api.py
@@ -22,7 +22,7 @@
 from covetally.errors import CindersailError
 from covetally.fleet.agent import Agent
 from covetally.fleet.orders import Command
-from covetally.fleet.refused import Refused
+from covetally.fleet.errors import AgentRefusedError
 from covetally.fleet.drains import Wanted
 from covetally.fleet.audit import Audit
 from covetally.fleet.rollout import Plan
@@ -41,7 +41,7 @@
 Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
 
 
-def failure(error: Refused) -> web.Response:
+def failure(error: AgentRefusedError) -> web.Response:
     """An operator's answer to what the agent does not do."""
     body = {"error": error.code, "text": str(error)} | error.data
     return web.json_response(body, status=STATUS.get(error.code, 400))
@@ -64,7 +64,7 @@
 async def _clear_errors(request: web.Request, handler: Handler) -> web.StreamResponse:
     try:
         return await handler(request)
-    except Refused as error:
+    except AgentRefusedError as error:
         return failure(error)
     except CindersailError as error:
         return web.json_response(error.table() | {"error": error.code, "text": error.line()}, status=error.status)
@@ -103,9 +103,9 @@
     try:
         body = json.loads(await request.read() or b"{}")
     except (ValueError, RecursionError):
-        raise Refused("bad_input", "the body is no JSON") from None
+        raise AgentRefusedError("bad_input", "the body is no JSON") from None
     if not isinstance(body, dict):
-        raise Refused("bad_input", "the body is no JSON object")
+        raise AgentRefusedError("bad_input", "the body is no JSON object")
     return body
 
 
@@ -115,7 +115,7 @@
 def _take(body: dict[str, Any], key: str, kind: type | tuple[type, ...], default: Any) -> Any:
     value = body.get(key, default)
     if not isinstance(value, kind) or (isinstance(value, bool) and kind is int):
-        raise Refused("bad_input", f"{key} is {value!r:.60}")
+        raise AgentRefusedError("bad_input", f"{key} is {value!r:.60}")
     return value
 
 
@@ -132,16 +132,18 @@
             and not isinstance(row[1], bool)
             and 0 <= row[1] < 1e9
         ):
-            raise Refused("bad_input", f"floors: {row!r:.60} is not [zone, figure, whether it is a share]")
+            raise AgentRefusedError(
+                "bad_input", f"floors: {row!r:.60} is not [zone, figure, whether it is a share]"
+            )
         found.append((row[0], float(row[1]), row[2]))
     return tuple(found)
 
 
 def _number(request: web.Request) -> int:
-    """The number in a path; Refused for one that nothing has."""
+    """The number in a path; AgentRefusedError for one that nothing has."""
     text = request.match_info["number"]
     if len(text) > 15:
-        raise Refused("unknown", f"there is no number {text:.40}")
+        raise AgentRefusedError("unknown", f"there is no number {text:.40}")
     return int(text)
 
 
@@ -153,28 +155,30 @@
 
 
 def plan_from(table: dict[str, Any], defaults: Plan) -> Plan:
-    """A plan from its JSON; Refused names the key that will not do."""
+    """A plan from its JSON; AgentRefusedError names the key that will not do."""
     values: dict[str, Any] = {f.name: getattr(defaults, f.name) for f in fields(Plan)}
     for key, value in table.items():
         if key not in values:
-            raise Refused("bad_input", f"plan.{key}: no such key; there are {', '.join(values)}")
+            raise AgentRefusedError("bad_input", f"plan.{key}: no such key; there are {', '.join(values)}")
         if key in _BOUNDS:
             least, most = _BOUNDS[key]
             whole = isinstance(values[key], int) and not isinstance(values[key], bool)
             number = isinstance(value, int if whole else (int, float)) and not isinstance(value, bool)
             if not number or not least <= value <= most:
-                raise Refused("bad_input", f"plan.{key} = {value!r:.60}: has to be from {least} to {most}")
+                raise AgentRefusedError(
+                    "bad_input", f"plan.{key} = {value!r:.60}: has to be from {least} to {most}"
+                )
         elif key == "shares":
             good = isinstance(value, list) and all(
                 isinstance(x, int | float) and not isinstance(x, bool) and 0 < x <= 1 for x in value
             )
             if not good or sorted(value) != value or len(value) > 100:
-                raise Refused("bad_input", "plan.shares: has to be rising numbers above 0, at most 1")
+                raise AgentRefusedError("bad_input", "plan.shares: has to be rising numbers above 0, at most 1")
             value = tuple(value)
         elif key == "restart" and not isinstance(value, bool):
-            raise Refused("bad_input", "plan.restart: has to be true or false")
+            raise AgentRefusedError("bad_input", "plan.restart: has to be true or false")
         elif key == "on_trouble" and value not in ("pause", "undo"):
-            raise Refused("bad_input", "plan.on_trouble: has to be pause or undo")
+            raise AgentRefusedError("bad_input", "plan.on_trouble: has to be pause or undo")
         values[key] = value
     return Plan(**values)
 
@@ -231,20 +235,23 @@
     async def instances(self, request: web.Request) -> web.Response:
         found = self._agent.select(request.query.get("selector", ""))
         orders = self._agent.orders
-        tables = [i.table() | {"orders": orders.table(i.name)} for i in found]
+        tables = [i.as_dict() | {"orders": orders.as_dict(i.name)} for i in found]
         return web.json_response({"instances": tables, "head": self._agent.head().number})
 
     async def instance(self, request: web.Request) -> web.Response:
         name = request.match_info["name"]
         instance = self._agent.instances.get(name)
         if instance is None:
-            raise Refused("unknown", f"there is no instance {name}")
-        wanted = {"wanted": self._agent.drafts.wanted(instance), "orders": self._agent.orders.table(name)}
-        table = instance.table() | wanted
+            raise AgentRefusedError("unknown", f"there is no instance {name}")
+        wanted = {
+            "wanted": self._agent.drafts.desired_settings(instance),
+            "orders": self._agent.orders.as_dict(name),
+        }
+        table = instance.as_dict() | wanted
         if instance.connected:
             try:
                 table["snapshot"] = await self._agent.asks.ask(name, "snapshot")
-            except Refused as error:
+            except AgentRefusedError as error:
                 table["note"] = str(error)
         return web.json_response(table)
 
@@ -256,19 +263,19 @@
         return web.json_response({"forgotten": request.match_info["name"]})
 
     async def revisions(self, request: web.Request) -> web.Response:
-        return web.json_response({"revisions": [r.table() for r in self._agent.revisions()]})
+        return web.json_response({"revisions": [r.as_dict() for r in self._agent.revisions()]})
 
     async def revision(self, request: web.Request) -> web.Response:
-        return web.json_response(self._agent.revision(_number(request)).table(whole=True))
+        return web.json_response(self._agent.revision(_number(request)).as_dict(whole=True))
 
     async def change(self, request: web.Request) -> web.Response:
         body = await _body(request)
         put = body.get("put")
         if put is not None and not isinstance(put, dict):
-            raise Refused("bad_input", "put is no object")
+            raise AgentRefusedError("bad_input", "put is no object")
         overlap = body.get("overlap", "refuse")
         if overlap not in ("refuse", "queue", "supersede"):
-            raise Refused("bad_input", "overlap has to be refuse, queue or supersede")
+            raise AgentRefusedError("bad_input", "overlap has to be refuse, queue or supersede")
         who, reason = request["who"], _take(body, "reason", str, "")[:1000]
         plan = plan_from(_take(body, "plan", dict, {}), Plan())
         draft = self._agent.draft(
@@ -286,16 +293,16 @@
             if dry_run:
                 return web.json_response(self._agent.drafts.preview(draft) | {"asked": found.table()})
             if found.refused:
-                raise Refused("refused", found.text(), asked=found.table())
+                raise AgentRefusedError("refused", found.text(), asked=found.table())
         return web.json_response(self._agent.change(draft, who, reason, plan, overlap))
 
     async def rollouts(self, request: web.Request) -> web.Response:
         now = self._agent.tell_time()
-        return web.json_response({"rollouts": [r.table(now) for r in self._agent.rollouts()]})
+        return web.json_response({"rollouts": [r.as_dict(now) for r in self._agent.rollouts()]})
 
     async def rollout(self, request: web.Request) -> web.Response:
         found = self._agent.running(_number(request))
-        return web.json_response(found.table(self._agent.tell_time(), whole=True))
+        return web.json_response(found.as_dict(self._agent.tell_time(), whole=True))
 
     async def steer(self, request: web.Request) -> web.Response:
         body = await _body(request)
@@ -318,10 +325,12 @@
         body = await _body(request)
         what, selector = request.match_info["what"], _take(body, "selector", str, "")
         if not self._agent.select(selector):
-            raise Refused("unknown", f"no instance is meant by {selector!r}")
+            raise AgentRefusedError("unknown", f"no instance is meant by {selector!r}")
         within_s = _take(body, "within_s", (int, float, type(None)), None)
         if within_s is not None and (what != "drain" or not 0 <= within_s < MAX_WITHIN_S):
-            raise Refused("bad_input", f"within_s is {within_s!r:.40}: seconds of a drain, under {MAX_WITHIN_S}")
+            raise AgentRefusedError(
+                "bad_input", f"within_s is {within_s!r:.40}: seconds of a drain, under {MAX_WITHIN_S}"
+            )
         why = _take(body, "reason", str, "")[:1000]
         found = await self._agent.order(Command(what, request["who"], why, within_s), selector)
         return web.json_response({"instances": found})
@@ -331,16 +340,16 @@
         return web.json_response({"instances": found})
 
     async def drains(self, request: web.Request) -> web.Response:
-        return web.json_response(self._agent.drains.table())
+        return web.json_response(self._agent.drains.as_dict())
 
     async def drain_start(self, request: web.Request) -> web.Response:
         body = await _body(request)
         selector, what = _take(body, "selector", str, ""), _take(body, "what", str, "restart")
         if what not in ("restart", "drain"):
-            raise Refused("bad_input", f"what = {what!r:.60}: has to be restart or drain")
+            raise AgentRefusedError("bad_input", f"what = {what!r:.60}: has to be restart or drain")
         found = self._agent.select(selector)
         if not found:
-            raise Refused("unknown", f"no instance is meant by {selector!r}")
+            raise AgentRefusedError("unknown", f"no instance is meant by {selector!r}")
         figures = {
             key: float(_take(body, key, (int, float), default))
             for key, default in (("drain_s", 5.0), ("return_s", 10.0), ("warm_s", 0.0), ("after_loss", 0.0))
@@ -361,13 +370,13 @@
         return web.json_response(self._agent.drains.write_off(request["who"], request.match_info["name"]))
 
     async def freezes(self, request: web.Request) -> web.Response:
-        return web.json_response({"freezes": self._agent.freezes.table(self._agent.clock.now())})
+        return web.json_response({"freezes": self._agent.freezes.as_dicts(self._agent.clock.now())})
 
     async def freeze(self, request: web.Request) -> web.Response:
         body = await _body(request)
         for_s = body.get("for_s")
         if not isinstance(for_s, int | float) or isinstance(for_s, bool) or not 1 <= for_s <= 2_592_000:
-            raise Refused("bad_input", f"for_s = {for_s!r:.60}: has to be from 1 to 2592000")
+            raise AgentRefusedError("bad_input", f"for_s = {for_s!r:.60}: has to be from 1 to 2592000")
         texts = [_take(body, key, str, "")[:1000] for key in ("selector", "reason", "through")]
         made = self._agent.freeze(request["who"], float(for_s), *texts)
         return web.json_response({"freeze": made})
@@ -396,7 +405,7 @@
     async def watch(self, request: web.Request) -> web.StreamResponse:
         """A WebSocket on which news comes as it happens: {"rollout": ...} or {"instance": ...}."""
         if len(self._agent.watchers.queues) >= MAX_WATCHERS:
-            raise Refused("busy", f"{MAX_WATCHERS} are watching already")
+            raise AgentRefusedError("busy", f"{MAX_WATCHERS} are watching already")
         socket_ = web.WebSocketResponse(heartbeat=20.0, max_msg_size=4096)
         await socket_.prepare(request)
         queue: asyncio.Queue[dict[str, Any]] = asyncio.Queue(1000)
--- a/covetally/fleet/document.py
+++ b/covetally/fleet/document.py
@@ -34,7 +34,7 @@
         """What the layer of exactly this selector sets, empty if there is none."""
         return next((dict(x.values) for x in self.layers if x.selector == selector), {})
 
-    def replaced(self, selector: Selector, values: Mapping[str, Value]) -> Document:
+    def with_layer(self, selector: Selector, values: Mapping[str, Value]) -> Document:
         """The document with one layer replaced; a layer without settings is none."""
         layers = [x for x in self.layers if x.selector != selector or values]
         at = next((i for i, x in enumerate(layers) if x.selector == selector), None)
@@ -52,7 +52,7 @@
                 merged.update(layer.values)
         return dict(sorted(merged.items()))
 
-    def origin(self, name: str, labels: Mapping[str, str]) -> dict[str, str]:
+    def origins(self, name: str, labels: Mapping[str, str]) -> dict[str, str]:
         """For each key of `effective`, the selector of the layer that gives it."""
         found: dict[str, str] = {}
         for layer in self.layers:
@@ -62,18 +62,18 @@
 
     def digest(self) -> str:
         """What the document is known by."""
-        return digest({"layers": self.table()})
+        return digest({"layers": self.as_dicts()})
 
-    def table(self) -> list[dict[str, Any]]:
+    def as_dicts(self) -> list[dict[str, Any]]:
         """For the store and the API."""
         return [{"selector": str(x.selector), "values": dict(sorted(x.values.items()))} for x in self.layers]
 
-    def text(self) -> str:
+    def to_json(self) -> str:
         """The table as JSON."""
-        return json.dumps(self.table(), separators=(",", ":"))
+        return json.dumps(self.as_dicts(), separators=(",", ":"))
 
 
-def from_table(table: list[dict[str, Any]]) -> Document:
+def from_dicts(table: list[dict[str, Any]]) -> Document:
     """A document from its table."""
     return Document(tuple(Layer(parse(x["selector"]), x["values"]) for x in table))
 
@@ -92,7 +92,7 @@
     return found
 
 
-def taken_back(head: Document, mine: Document, parent: Document, selector: Selector) -> Values:
+def reverted_layer(head: Document, mine: Document, parent: Document, selector: Selector) -> Values:
     """A layer of `head` without what `mine` changed in its `parent`: what others changed since stays."""
     layer, before = head.layer(selector), parent.layer(selector)
     for key in changed_keys(mine, parent, selector):
--- a/covetally/fleet/drafts.py
+++ b/covetally/fleet/drafts.py
@@ -10,9 +10,9 @@
 from covetally.fleet import preflight
 from covetally.fleet.asks import Asks
 from covetally.fleet.document import Document, Layer, difference
-from covetally.fleet.refused import Refused
+from covetally.fleet.errors import AgentRefusedError
 from covetally.fleet.registry import Instance
-from covetally.fleet.running import Draft
+from covetally.fleet.rollout_record import Draft
 from covetally.fleet.selector import Selector, parse
 from covetally.fleet.store import Revision, Store
 from covetally.operator import check
@@ -43,7 +43,8 @@
         self, who: str, parent: int, reason: str, meant: Selector, put: Mapping[str, Any] | None,
         set_: Mapping[str, Any], unset: list[str],
     ) -> Draft:  # fmt: skip
-        """The revision that a change would make on top of `parent`, not written; Refused if it cannot be made.
+        """The revision that a change would make on top of `parent`, not written; AgentRefusedError if it
+        cannot be made.
 
         `put` replaces the layer of `meant`, else `set_` and `unset` change it.
         """
@@ -54,13 +55,13 @@
         if put is None:
             missing = [key for key in unset if key not in layer]
             if missing:
-                raise Refused("bad_input", f"{missing[0]} is not set for {str(meant) or 'all'}")
+                raise AgentRefusedError("bad_input", f"{missing[0]} is not set for {str(meant) or 'all'}")
             layer = {k: v for k, v in (layer | dict(set_)).items() if k not in unset}
         values = self._checked(layer)
-        made = head.document.replaced(meant, values)
+        made = head.document.with_layer(meant, values)
         changes = difference(head.document, made)
         if not changes:
-            raise Refused("bad_input", "this changes nothing", head=head.number)
+            raise AgentRefusedError("bad_input", "this changes nothing", head=head.number)
         self._check_effective(made)
         number = self.next_revision(head)
         revision = Revision(number, head.number, time.time(), who, reason, str(meant), made.digest(), made)
@@ -82,13 +83,13 @@
 
         return preflight.judge(await preflight.ask_all(wanted, one))
 
-    def wanted(self, instance: Instance) -> dict[str, Any]:
+    def desired_settings(self, instance: Instance) -> dict[str, Any]:
         """What an instance is to have, and which layer says so."""
         revision = self._store.revision(max(0, instance.assigned))
         if revision is None:
             return {}
         values = revision.document.effective(instance.name, instance.labels)
-        origin = revision.document.origin(instance.name, instance.labels)
+        origin = revision.document.origins(instance.name, instance.labels)
         return {"revision": revision.number, "digest": digest(values), "values": values, "origin": origin}
 
     def next_revision(self, head: Revision) -> int:
@@ -101,7 +102,7 @@
             return check.checked(layer, managed=True)
         except check.OperatorError as error:
             text = "; ".join(map(str, error.problems))
-            raise Refused("bad_input", text, problems=[p.table() for p in error.problems]) from None
+            raise AgentRefusedError("bad_input", text, problems=[p.table() for p in error.problems]) from None
 
     def _check_effective(self, made: Document) -> None:
         """Layers that will do alone may not do together."""
@@ -109,9 +110,9 @@
             try:
                 check.checked(made.effective(instance.name, instance.labels), managed=True)
             except check.OperatorError as error:
-                raise Refused("bad_input", f"for {instance.name}: {error.problems[0]}") from None
+                raise AgentRefusedError("bad_input", f"for {instance.name}: {error.problems[0]}") from None
 
-    def conflict(self, parent: int, head: Revision) -> Refused:
+    def conflict(self, parent: int, head: Revision) -> AgentRefusedError:
         """Somebody was first: who, when, and what lies between."""
         since = [r for r in self._store.revisions(after=parent) if r.number > parent]
         old = self._store.revision(parent)
@@ -122,14 +123,16 @@
             f"revision {first.number} by {first.author} ({first.reason or 'no reason given'}, {when}) "
             f"came first; yours was made on revision {parent}, the head is {head.number}"
         )
-        return Refused("conflict", text, head=head.number, revisions=[r.table() for r in since], changes=changes)
+        return AgentRefusedError(
+            "conflict", text, head=head.number, revisions=[r.as_dict() for r in since], changes=changes
+        )
 
     def _would(self, affected: list[Instance], revision: Revision) -> list[dict[str, Any]]:
         """What a change would do to each instance."""
         found = []
         for instance in sorted(affected, key=lambda i: i.name):
             values = revision.document.effective(instance.name, instance.labels)
-            current = dict(self.wanted(instance).get("values", {}))
+            current = dict(self.desired_settings(instance).get("values", {}))
             changed = sorted(k for k in {*values, *current} if values.get(k) != current.get(k))
             if changed:
                 restart = [k for k in check.restart_keys(current, values) if k in changed]
--- a/covetally/fleet/drains.py
+++ b/covetally/fleet/drains.py
@@ -42,7 +42,7 @@
 KEPT = "drains"
 
 
-class Hands(Protocol):
+class AgentOperations(Protocol):
     """What the agent does for it."""
 
     instances: dict[str, Instance]
@@ -53,7 +53,7 @@
     async def silent(self, names: list[str]) -> set[str]:
         """Which of these do not answer, though their links are up."""
 
-    async def rungs(self, names: list[str]) -> list[int]:
+    async def overload_levels(self, names: list[str]) -> list[int]:
         """Where the overload line stands at these, as far as they answer and have one."""
 
 
@@ -71,7 +71,7 @@
     warm_s: float = 0.0
 
 
-def account_of(instances: Iterable[Instance], wanted: Wanted) -> Account:
+def fleet_state_of(instances: Iterable[Instance], wanted: Wanted) -> Account:
     """The sidecars that are known, with the floors wanted; UnitsError where they mean nothing."""
     units: dict[str, Unit] = {}
     for instance in instances:
@@ -104,8 +104,10 @@
 class Drains:
     """One order at a time."""
 
-    def __init__(self, store: Store, hands: Hands, write: Callable[..., None], clock: SteadyClock) -> None:
-        self._store, self._hands, self._write, self._clock = store, hands, write, clock
+    def __init__(
+        self, store: Store, operations: AgentOperations, write: Callable[..., None], clock: SteadyClock
+    ) -> None:
+        self._store, self._operations, self._write, self._clock = store, operations, write, clock
         kept = json.loads(store.get(KEPT) or "{}")
         self.run = Run.of(kept["run"]) if kept.get("run") else None
         self.wanted = _wanted(kept["wanted"]) if kept.get("wanted") else Wanted(())
@@ -129,7 +131,7 @@
 
     def preview(self, wanted: Wanted) -> dict[str, Any]:
         """The order's arithmetic, and nothing begun."""
-        account = self._seen(account_of(self._hands.instances.values(), wanted), self._clock.now())
+        account = self._seen(fleet_state_of(self._operations.instances.values(), wanted), self._clock.now())
         order = plan(account, wanted.names, self._clock.now())
         return {
             "waves": [{"units": list(wave.units), "seconds": wave.seconds} for wave in order.waves],
@@ -147,7 +149,7 @@
         number = (self.run.number if self.run else 0) + 1
         before = self.wanted, self.run, self.account
         self.wanted, self.run = wanted, Run(number, who, why, list(wanted.names))
-        self.account = account_of(self._hands.instances.values(), wanted)
+        self.account = fleet_state_of(self._operations.instances.values(), wanted)
         try:
             self._save()
         except CannotKeepError:
@@ -156,7 +158,7 @@
         names = list(wanted.names)[:1000]
         self._write(who, "drain start", order=number, how=wanted.what, instances=names, reason=why)
         self._arm()
-        return self.table()
+        return self.as_dict()
 
     def steer(self, who: str, what: str, why: str) -> dict[str, Any]:
         """halt, resume or back; durable before it is answered."""
@@ -176,7 +178,7 @@
         self._save()
         self._write(who, f"drain {what}", order=run.number, reason=why)
         self._arm()
-        return self.table()
+        return self.as_dict()
 
     def write_off(self, who: str, unit: str) -> dict[str, Any]:
         """An operator's word that a unit does not come back."""
@@ -186,7 +188,7 @@
         self._arm()
         return permit.table()
 
-    def table(self) -> dict[str, Any]:
+    def as_dict(self) -> dict[str, Any]:
         """The order, its permits, and who is out."""
         account = self._current(self._clock.now())
         out = [
@@ -217,7 +219,7 @@
         for task in self._tasks:
             task.cancel()
 
-    def hello(self, epoch: int) -> None:
+    def observe_epoch(self, epoch: int) -> None:
         """A sidecar knows of this epoch."""
         self.permits.hear(epoch)
 
@@ -262,7 +264,7 @@
                 run.reason = error.what
                 break
             run.gone(unit)
-            self._boots[unit] = self._hands.instances[unit].boot
+            self._boots[unit] = self._operations.instances[unit].boot
 
     def _fresh(self) -> bool:
         """Whether all were asked just now; else they are, and what needs it waits. A process that stands still
@@ -277,7 +279,9 @@
     async def _ask_all(self) -> None:
         began = time.monotonic()
         try:
-            silent = await self._hands.silent([n for n, i in self._hands.instances.items() if i.connected])
+            silent = await self._operations.silent(
+                [n for n, i in self._operations.instances.items() if i.connected]
+            )
             self._dumb = dict.fromkeys(silent, began)
             self._asked_at = time.monotonic()
         finally:
@@ -300,7 +304,7 @@
             unit = permit.unit
             if permit.number in self._told or (permit.stage is not Stage.GIVEN and not self._restarts):
                 continue
-            instance = self._hands.instances.get(unit)
+            instance = self._operations.instances.get(unit)
             if instance is None or not instance.connected:
                 continue
             if instance.boot != self._boots.get(unit):
@@ -312,7 +316,7 @@
 
     async def _step(self, number: int, unit: str) -> None:
         try:
-            denied = await self._hands.step(unit, self.wanted.what, self.permits.epoch)
+            denied = await self._operations.step(unit, self.wanted.what, self.permits.epoch)
         except CannotKeepError as error:
             denied = error.line()
         if denied and self.run is not None:
@@ -326,9 +330,9 @@
             self._save_changes()
 
     async def _look_at_line(self) -> None:
-        names = [name for name, instance in self._hands.instances.items() if instance.connected]
+        names = [name for name, instance in self._operations.instances.items() if instance.connected]
         step = max(1, len(names) // LINE_ASKED)
-        rungs = sorted(await self._hands.rungs(names[::step][:LINE_ASKED]))
+        rungs = sorted(await self._operations.overload_levels(names[::step][:LINE_ASKED]))
         self._line_up = bool(rungs) and rungs[len(rungs) // 2] > 0
 
     def _spawn(self, work: Awaitable[None]) -> None:
@@ -337,9 +341,9 @@
         task.add_done_callback(self._tasks.discard)
 
     def _current(self, now: float) -> Account:
-        if set(self.account.units) != set(self._hands.instances):
+        if set(self.account.units) != set(self._operations.instances):
             entries = self.account.entries
-            self.account = account_of(self._hands.instances.values(), self.wanted)
+            self.account = fleet_state_of(self._operations.instances.values(), self.wanted)
             self.account.entries = entries
         return self._seen(self.account, now)
 
@@ -348,7 +352,7 @@
         for permit in self.permits.open:
             if permit.unit in account.units and account.entry(permit.unit).state is State.UNKNOWN:
                 account.going(now, permit.unit, f"{permit.why}, by {permit.who}")
-        for name, instance in self._hands.instances.items():
+        for name, instance in self._operations.instances.items():
             if name not in account.units:
                 continue
             if not instance.connected:
--- a/covetally/fleet/refused.py
+++ b/covetally/fleet/errors.py
@@ -7,7 +7,7 @@
 from covetally.errors import RefusedError
 
 
-class Refused(RefusedError):
+class AgentRefusedError(RefusedError):
     """The agent does not do what an operator asks. `code` is conflict, busy, bad_input, unknown or recovering;
     `data` has what the operator needs to know."""
 
--- a/covetally/fleet/freezes.py
+++ b/covetally/fleet/freezes.py
@@ -41,7 +41,7 @@
         """in force, lifted or lapsed."""
         return "lifted" if self.ended else "in force" if now < self.until else "lapsed"
 
-    def text(self, now: float) -> str:
+    def describe(self, now: float) -> str:
         """One line."""
         left = f"for {self.until - now:.0f} s more" if now < self.until else "no more"
         through = f"; {self.through} may act all the same" if self.through else ""
@@ -54,7 +54,7 @@
     def __init__(self, text: str = "") -> None:
         self._all = [Freeze(**row) for row in json.loads(text or "[]")]
 
-    def text(self) -> str:
+    def to_json(self) -> str:
         """What `__init__` takes."""
         return json.dumps([asdict(freeze) for freeze in self._all])
 
@@ -73,7 +73,7 @@
                 return self._all[i]
         return None
 
-    def blocking(self, meant: Selector, who: str, now: float) -> Freeze | None:
+    def find_blocking(self, meant: Selector, who: str, now: float) -> Freeze | None:
         """The freeze that is in the way of something planned for what is meant."""
         for freeze in self._all:
             means = parse(freeze.selector).overlaps(meant)
@@ -81,6 +81,6 @@
                 return freeze
         return None
 
-    def table(self, now: float) -> list[dict[str, object]]:
+    def as_dicts(self, now: float) -> list[dict[str, object]]:
         """For the API, the newest first."""
-        return [asdict(f) | {"state": f.state(now), "text": f.text(now)} for f in reversed(self._all)]
+        return [asdict(f) | {"state": f.state(now), "text": f.describe(now)} for f in reversed(self._all)]
--- a/covetally/fleet/orders.py
+++ b/covetally/fleet/orders.py
@@ -29,7 +29,7 @@
     """What an operator says to an instance: a word of `control.orders.WORDS` or one that is done once, and for a
     drain how many seconds it may take."""
 
-    word: str
+    action: str
     who: str = "agent"
     why: str = ""
     within_s: float | None = None
@@ -44,12 +44,12 @@
     at: float
     why: str = ""
 
-    def table(self) -> dict[str, Any]:
+    def as_dict(self) -> dict[str, Any]:
         """For the store and the API."""
         return self.state.table() | {"who": self.who, "at": self.at, "why": self.why}
 
 
-class OrderBook:
+class DesiredOrders:
     """The orders of all instances by name."""
 
     def __init__(self, store: Store) -> None:
@@ -61,29 +61,29 @@
         }
         self._highest = max((ordered.state.revision for ordered in self._ordered.values()), default=0)
 
-    def of(self, name: str) -> Orders:
+    def desired(self, name: str) -> Orders:
         """What is wanted of an instance."""
         ordered = self._ordered.get(name)
         return ordered.state if ordered is not None else NO_ORDERS
 
-    def table(self, name: str) -> dict[str, Any]:
+    def as_dict(self, name: str) -> dict[str, Any]:
         """The same for operators; empty where nothing was ever ordered."""
         ordered = self._ordered.get(name)
-        return ordered.table() if ordered is not None else {}
+        return ordered.as_dict() if ordered is not None else {}
 
-    def order(self, name: str, command: Command, at: float) -> Orders:
+    def record(self, name: str, command: Command, at: float) -> Orders:
         """One more order, on disk when this returns; CannotKeepError, and nothing changed, if it cannot be."""
-        state = self.of(name).ordered(command.word, self._highest + 1, command.within_s)
+        state = self.desired(name).ordered(command.action, self._highest + 1, command.within_s)
         self._write({name: Ordered(state, command.who, at, command.why)})
         return state
 
-    def withdraw(self, name: str, refused: Orders, before: Orders, at: float) -> None:
+    def revert(self, name: str, refused: Orders, before: Orders, at: float) -> None:
         """An instance has refused a state: what was wanted before is wanted again, unless another was since."""
-        if self.of(name) == refused:
+        if self.desired(name) == refused:
             again = replace(before, revision=self._highest + 1)
             self._write({name: Ordered(again, "agent", at, f"revision {refused.revision} was refused")})
 
-    def reported(self, name: str, table: Any, at: float) -> None:
+    def reconcile(self, name: str, table: Any, at: float) -> None:
         """What an instance says that it holds, when it comes."""
         if not isinstance(table, Mapping):
             return  # of a version that keeps no orders
@@ -92,7 +92,7 @@
         except ValueError as error:
             log.warning("%s: %s", name, error)
             return
-        if state.revision > self.of(name).revision:
+        if state.revision > self.desired(name).revision:
             log.warning("%s holds orders of revision %d, which the store lacks", name, state.revision)
             self._write({name: Ordered(state, "agent", at, "as the instance reports")})
 
@@ -108,7 +108,7 @@
         self._highest = max(self._highest, *highest)
 
     def _keep(self, ordered: dict[str, Ordered]) -> None:
-        text = json.dumps({name: one.table() for name, one in ordered.items()})
+        text = json.dumps({name: one.as_dict() for name, one in ordered.items()})
         with self._store.transaction():
             self._store.set(KEPT, text)
         self._ordered = ordered
--- a/covetally/fleet/registry.py
+++ b/covetally/fleet/registry.py
@@ -38,10 +38,13 @@
     lag_ms: float = 0.0
     counts: Mapping[str, Any] = field(default_factory=dict)
     history: deque[tuple[float, int, int]] = field(default_factory=lambda: deque(maxlen=64))
-    offered: tuple[str, str] = ("", "")  # boot and digest last sent outside of a rollout on this link
-    answered: tuple[str, str] = ("", "")  # boot and digest that it last refused or waits with
+    last_offered: tuple[str, str] = ("", "")  # boot and digest last sent outside of a rollout on this link
+    last_answered: tuple[str, str] = ("", "")  # boot and digest that it last refused or waits with
     values: Mapping[str, Any] = field(default_factory=dict)
-    due: tuple[int, str] = (-1, "")  # the digest that goes with `assigned`, once it has been worked out
+    assigned_digest: tuple[int, str] = (
+        -1,
+        "",
+    )  # the digest that goes with `assigned`, once it has been worked out
 
     @property
     def connected(self) -> bool:
@@ -55,23 +58,23 @@
             served, refused, failed = served + numbers[0], refused + numbers[1], failed + numbers[2]
         return served + refused + failed, refused + failed
 
-    def beat(self, now: float, wall: float, message: Mapping[str, Any]) -> None:
+    def record_heartbeat(self, now: float, wall: float, message: Mapping[str, Any]) -> None:
         """Take a heartbeat."""
         self.digest, self.holds = message["digest"], message["pending"]
         self.state, self.last_seen = message["state"], wall
-        self.counts = sane_counts(message["counts"])
+        self.counts = valid_counts(message["counts"])
         self.open = _number(message.get("open"))
         self.lag_ms = float(_number(message.get("lag_ms")))
         self.history.append((now, *self.totals()))
 
-    def lately(self, now: float) -> tuple[int, int]:
+    def recent_totals(self, now: float) -> tuple[int, int]:
         """Answers and bad ones of the last WINDOW_S, as far as heartbeats tell."""
         recent = [entry for entry in self.history if entry[0] >= now - WINDOW_S]
         if len(recent) < 2:
             return 0, 0
         return max(0, recent[-1][1] - recent[0][1]), max(0, recent[-1][2] - recent[0][2])
 
-    def shown_state(self) -> str:
+    def display_state(self) -> str:
         """serving or draining, or away (its link is lost) or gone (it ended on purpose)."""
         if self.connected:
             return self.state
@@ -81,15 +84,16 @@
         """For the store."""
         return {name: getattr(self, name) for name in _KEPT}
 
-    def table(self) -> dict[str, Any]:
+    def as_dict(self) -> dict[str, Any]:
         """For the API."""
         answers, bad = self.totals()
         return {
             "name": self.name, "labels": dict(self.labels), "version": self.version, "pid": self.pid,
-            "connected": self.connected, "state": self.shown_state(),
+            "connected": self.connected, "state": self.display_state(),
             "digest": self.digest, "revision": self.revision, "assigned": max(0, self.assigned),
             "pending_restart": bool(self.holds), "last_seen": self.last_seen, "note": self.note,
-            "in_step": bool(self.due[1]) and self.digest == self.due[1] and not self.holds,
+            "in_step": bool(self.assigned_digest[1])
+            and self.digest == self.assigned_digest[1] and not self.holds,
             "answers": answers, "bad": bad, "open": self.open, "lag_ms": self.lag_ms,
             "may_restart": self.may_restart, "keeps": self.keeps,
         }  # fmt: skip
@@ -104,7 +108,7 @@
     return value if isinstance(value, int | float) and not isinstance(value, bool) and value == value else 0
 
 
-def sane_counts(counts: Mapping[str, Any]) -> dict[str, list[int]]:
+def valid_counts(counts: Mapping[str, Any]) -> dict[str, list[int]]:
     """Counters by class, [served, refused, failed, left]; what is no such list is left out."""
     found = {}
     for name, numbers in list(counts.items())[:64]:
@@ -113,7 +117,7 @@
     return found
 
 
-def sane_labels(labels: Mapping[str, Any]) -> dict[str, str]:
+def valid_labels(labels: Mapping[str, Any]) -> dict[str, str]:
     """Labels that are words; at most 32 of them count."""
     pairs = [(k, v) for k, v in labels.items() if isinstance(k, str) and isinstance(v, str)]
     return {k[:63]: v[:63] for k, v in pairs[:32]}
--- a/covetally/fleet/keeping.py
+++ b/covetally/fleet/restart_policy.py
@@ -15,34 +15,34 @@
 
 
 @dataclass(slots=True)
-class Keeping:
+class RestartPolicy:
     """One supervised process."""
 
     state: str = "waiting"  # waiting, running, stopped
     start_at: float = 0.0
     started_at: float = 0.0
-    row: int = 0  # crashes at the start, one after the other
-    last: str = ""  # how it ended last
+    startup_crashes: int = 0  # crashes at the start, one after the other
+    last_exit: str = ""  # how it ended last
     planned: bool = False
 
-    def started(self, now: float) -> None:
+    def record_start(self, now: float) -> None:
         """It has been started."""
         self.state, self.started_at = "running", now
 
-    def ended(self, now: float, how: str) -> None:
+    def record_exit(self, now: float, how: str) -> None:
         """It has ended."""
-        self.last = how
+        self.last_exit = how
         if self.state == "stopped":
             return
         self.state = "waiting"
         if self.planned:
-            self.planned, self.row, self.start_at = False, 0, now
+            self.planned, self.startup_crashes, self.start_at = False, 0, now
             return
-        self.row = self.row + 1 if now - self.started_at < SOON_S else 0
-        pause = MOST_S if self.looping else min(MOST_S, FIRST_S * 2.0 ** max(0, self.row - 1))
+        self.startup_crashes = self.startup_crashes + 1 if now - self.started_at < SOON_S else 0
+        pause = MOST_S if self.crash_looping else min(MOST_S, FIRST_S * 2.0 ** max(0, self.startup_crashes - 1))
         self.start_at = now + pause
 
-    def restart(self) -> None:
+    def plan_restart(self) -> None:
         """It is being ended on purpose, to be started again at once."""
         self.planned = True
 
@@ -50,11 +50,11 @@
         """It is not to be started again."""
         self.state = "stopped"
 
-    def due(self, now: float) -> bool:
+    def should_start(self, now: float) -> bool:
         """Whether to start it now."""
         return self.state == "waiting" and now >= self.start_at
 
     @property
-    def looping(self) -> bool:
+    def crash_looping(self) -> bool:
         """Whether it crashes at every start."""
-        return self.row >= LOOP
+        return self.startup_crashes >= LOOP
--- a/covetally/fleet/rollout.py
+++ b/covetally/fleet/rollout.py
@@ -35,7 +35,7 @@
 from covetally.release import Answers, Verdict, clustering, judge
 
 
-class State(enum.StrEnum):
+class MemberState(enum.StrEnum):
     """What is known of a member; see the table above."""
 
     PENDING = "pending"
@@ -50,9 +50,17 @@
     UNDONE = "undone"
 
 
-OUT = frozenset({State.SENT, State.RESTARTING})
-UNDO_TO = frozenset({State.TOOK, State.SENT, State.NEEDS_RESTART, State.RESTARTING, State.UNREACHABLE})
-MAX_TRIES = 2  # sends that a member may answer with a lost link before it counts as having refused
+IN_PROGRESS = frozenset({MemberState.SENT, MemberState.RESTARTING})
+UNDOABLE = frozenset(
+    {
+        MemberState.TOOK,
+        MemberState.SENT,
+        MemberState.NEEDS_RESTART,
+        MemberState.RESTARTING,
+        MemberState.UNREACHABLE,
+    }
+)
+MAX_SENDS = 2  # sends that a member may answer with a lost link before it counts as having refused
 
 
 class Phase(enum.StrEnum):
@@ -69,7 +77,7 @@
     SUPERSEDED = "superseded"
 
 
-ENDED = frozenset({Phase.DONE, Phase.INCOMPLETE, Phase.ABORTED, Phase.UNDONE, Phase.SUPERSEDED})
+TERMINAL_PHASES = frozenset({Phase.DONE, Phase.INCOMPLETE, Phase.ABORTED, Phase.UNDONE, Phase.SUPERSEDED})
 
 
 @dataclass(frozen=True, slots=True)
@@ -89,7 +97,7 @@
     on_trouble: str = "pause"  # or undo
 
 
-MOST_SLICES = 120  # heartbeats of one instance that a judgement looks at
+MAX_HEARTBEAT_SLICES = 120  # heartbeats of one instance that a judgement looks at
 
 
 @dataclass(slots=True)
@@ -100,7 +108,7 @@
     target: str
     before: str
     wave: int
-    state: State = State.PENDING
+    state: MemberState = MemberState.PENDING
     since: float = 0.0  # spent seconds of the rollout when the state began
     detail: str = ""
     given_up: bool = False  # unreachable for its whole deadline: nothing waits for it any more
@@ -133,13 +141,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class UndoWanted:
+class UndoRequested:
     """The rollout wants to be undone: the shell has to make the revision and call `undo`."""
 
     reason: str
 
 
-Action = Send | Restart | UndoWanted
+Action = Send | Restart | UndoRequested
 
 
 def _since(now: tuple[int, int], base: tuple[int, int]) -> Answers:
@@ -165,15 +173,15 @@
         self.wave = 0
         self.waves = _last_wave(plan, len(self.members)) + 1
         self.soak_until = 0.0  # in spent seconds, as all that follows
-        self.until = plan.whole_s
-        self.forgiven = 0  # refusals that an operator has gone on after
-        self.dirty: set[str] = set(self.members)
+        self.deadline = plan.whole_s
+        self.accepted_refusals = 0  # refusals that an operator has gone on after
+        self.unsaved_members: set[str] = set(self.members)
         self._zero = now - spent
         self._others: dict[str, tuple[int, int]] = {}  # answers and bad ones of later waves as the soak began
         self._slices: dict[str, deque[Answers]] = {}  # and what each answered since, heartbeat by heartbeat
         self._actions: list[Action] = []
         # Kept in step by `_set`, so that an event costs the same however many members there are.
-        self._counts: Counter[State] = Counter()
+        self._counts: Counter[MemberState] = Counter()
         self._unsettled: dict[int, set[str]] = {}  # by wave
         self._ready: dict[int, dict[str, None]] = {}  # by wave: those that something can be done for
         self._timed: dict[str, None] = {}  # whose deadline runs, the oldest first
@@ -190,7 +198,7 @@
         """In how many seconds `tick` has something to do; None if only an event can bring it on."""
         if self.ended:
             return None
-        spent, due = self.spent(now), [self.until]
+        spent, due = self.spent(now), [self.deadline]
         if self.phase is Phase.SOAKING:
             due.append(self.soak_until)
         if self.phase is not Phase.PAUSED:
@@ -202,7 +210,7 @@
     @property
     def ended(self) -> bool:
         """Whether nothing more will be done."""
-        return self.phase in ENDED
+        return self.phase in TERMINAL_PHASES
 
     # --- events ---------------------------------------------------------------------------------
 
@@ -210,22 +218,24 @@
         """Begin, or go on after the agent was started again."""
         for name in list(self._timed):
             member = self.members[name]
-            if member.state in OUT and not member.connected:  # the time away was the agent's, and the lost link
+            if (
+                member.state in IN_PROGRESS and not member.connected
+            ):  # the time away was the agent's, and the lost link
                 member.tries = max(0, member.tries - 1)
             self._set(now, member, member.state, member.detail)
         return self._go_on(now)
 
-    def join(self, now: float, member: Member) -> list[Action]:
+    def add_member(self, now: float, member: Member) -> list[Action]:
         """An instance that nobody knew has come and belongs to this rollout."""
         if self.ended or member.name in self.members:
             return []
         member.wave = self.waves - 1
         self.members[member.name] = member
-        self.dirty.add(member.name)
+        self.unsaved_members.add(member.name)
         self._enter(member)
         return self._go_on(now)
 
-    def connected(
+    def on_connected(
         self, now: float, name: str, boot: str, has: str, holds: str = "", failed: str = "", reason: str = ""
     ) -> list[Action]:
         """An instance has come (back) and says what it has and holds; `failed` is a digest that it died with."""
@@ -236,13 +246,13 @@
             member.base = member.now = (0, 0)
         member.connected, member.boot, member.has, member.holds = True, boot, has, holds
         if self.ended:
-            if failed == member.target != has and member.state is State.TOOK:
-                self._set(now, member, State.REFUSED, reason or "the process ended with it")
+            if failed == member.target != has and member.state is MemberState.TOOK:
+                self._set(now, member, MemberState.REFUSED, reason or "the process ended with it")
                 if self.phase is Phase.DONE:
                     self._end(Phase.INCOMPLETE, f"{name} has lost it again")
             return self._late(now, member)
         undoing = self.phase is Phase.UNDOING
-        if member.state in (State.REFUSED, State.SUPERSEDED, State.UNDONE):
+        if member.state in (MemberState.REFUSED, MemberState.SUPERSEDED, MemberState.UNDONE):
             pass
         elif self.kind == "restart":
             self._restart_seen(now, member, boot)
@@ -251,39 +261,44 @@
         elif has == member.target and not holds:
             self._took(now, member)
         elif failed == member.target and member.tries:
-            self._set(now, member, State.REFUSED, reason or "the process ended with it")
-        elif member.state is State.RESTARTING:
+            self._set(now, member, MemberState.REFUSED, reason or "the process ended with it")
+        elif member.state is MemberState.RESTARTING:
             if boot != member.told_boot:
-                self._set(now, member, State.REFUSED, reason or "came back from its restart without it")
+                self._set(now, member, MemberState.REFUSED, reason or "came back from its restart without it")
             else:  # the link broke, perhaps before it was told
-                self._again(now, member, State.NEEDS_RESTART)
-        elif member.state in (State.SENT, State.UNREACHABLE, State.GONE, State.TOOK):
+                self._again(now, member, MemberState.NEEDS_RESTART)
+        elif member.state in (MemberState.SENT, MemberState.UNREACHABLE, MemberState.GONE, MemberState.TOOK):
             # Whether it got what was sent is not known and need not be: the same digest is not applied twice.
-            self._again(now, member, State.PENDING)
+            self._again(now, member, MemberState.PENDING)
         return self._go_on(now)
 
-    def lost(self, now: float, name: str, reason: str) -> list[Action]:
+    def on_connection_lost(self, now: float, name: str, reason: str) -> list[Action]:
         """An instance's link has ended, not on purpose."""
         member = self.members.get(name)
         if member is None:
             return []
         member.connected = False
-        if member.state is State.SENT:  # which an ended rollout has none of
-            self._set(now, member, State.UNREACHABLE, reason)
+        if member.state is MemberState.SENT:  # which an ended rollout has none of
+            self._set(now, member, MemberState.UNREACHABLE, reason)
         return self._go_on(now)
 
-    def left(self, now: float, name: str, reason: str) -> list[Action]:
+    def on_left(self, now: float, name: str, reason: str) -> list[Action]:
         """An instance has ended on purpose, or was forgotten. One told to restart will be back."""
         member = self.members.get(name)
         if member is None:
             return []
         member.connected = False
-        if self.ended or member.state in (State.RESTARTING, State.REFUSED, State.SUPERSEDED, State.UNDONE):
+        if self.ended or member.state in (
+            MemberState.RESTARTING,
+            MemberState.REFUSED,
+            MemberState.SUPERSEDED,
+            MemberState.UNDONE,
+        ):
             return self._take_actions()
-        self._set(now, member, State.GONE, reason)
+        self._set(now, member, MemberState.GONE, reason)
         return self._go_on(now)
 
-    def acked(
+    def on_answer(
         self, now: float, name: str, digest: str, outcome: str, has: str, errors: list[dict[str, Any]],
         keys: list[str], keeps: bool,
     ) -> list[Action]:  # fmt: skip
@@ -296,51 +311,51 @@
         if self.ended:
             return self._late(now, member)
         wanted = member.before if self.phase is Phase.UNDOING else member.target
-        if digest != wanted or member.state in (State.GONE, State.SUPERSEDED):
+        if digest != wanted or member.state in (MemberState.GONE, MemberState.SUPERSEDED):
             return self._take_actions()  # an answer to something else, or too late to matter
         if outcome == "refused":
             member.errors = errors
             text = "; ".join(f"{e.get('key')}: {e.get('reason')}" for e in errors)
-            self._set(now, member, State.REFUSED, text[:500])
+            self._set(now, member, MemberState.REFUSED, text[:500])
         elif outcome == "needs_restart":
             text = "waits for a restart: " + ", ".join(keys)
             if not keeps:
                 text += "; control.keep is not set, so a restart would lose it"
-            self._set(now, member, State.NEEDS_RESTART, text)
+            self._set(now, member, MemberState.NEEDS_RESTART, text)
         elif has == wanted:
             if self.phase is Phase.UNDOING:
-                self._set(now, member, State.UNDONE)
+                self._set(now, member, MemberState.UNDONE)
             else:
                 self._took(now, member)
         return self._go_on(now)
 
-    def denied(self, now: float, name: str, reason: str) -> list[Action]:
+    def on_restart_refused(self, now: float, name: str, reason: str) -> list[Action]:
         """An instance will not restart."""
         member = self.members.get(name)
-        if member is None or member.state is not State.RESTARTING:
+        if member is None or member.state is not MemberState.RESTARTING:
             return []
-        self._set(now, member, State.REFUSED, reason)
+        self._set(now, member, MemberState.REFUSED, reason)
         return self._go_on(now)
 
-    def beat(self, now: float, name: str, has: str, holds: str, answers: int, bad: int) -> list[Action]:
+    def on_heartbeat(self, now: float, name: str, has: str, holds: str, answers: int, bad: int) -> list[Action]:
         """What an instance has and holds, and its counters since its start."""
         member = self.members.get(name)
         if member is None:
             return []
         if member.wave > self.wave:
             if name in self._others:
-                slices = self._slices.setdefault(name, deque(maxlen=MOST_SLICES))
+                slices = self._slices.setdefault(name, deque(maxlen=MAX_HEARTBEAT_SLICES))
                 slices.append(_since((answers, bad), member.now))
             self._others.setdefault(name, (answers, bad))
         member.has, member.holds, member.now = has, holds, (answers, bad)
         if self.ended:
             return self._late(now, member)
-        if self.kind == "change" and member.state is State.UNREACHABLE and not holds:
+        if self.kind == "change" and member.state is MemberState.UNREACHABLE and not holds:
             # It was silent, or its answer was lost, and it speaks again: what it has decides.
             if self.phase is not Phase.UNDOING and has == member.target:
                 self._took(now, member)
             elif self.phase is Phase.UNDOING and has == member.before:
-                self._set(now, member, State.UNDONE)
+                self._set(now, member, MemberState.UNDONE)
         return self._go_on(now)
 
     def tick(self, now: float) -> list[Action]:
@@ -348,7 +363,7 @@
         if self.ended:
             return []
         spent = self.spent(now)
-        if spent >= self.until:
+        if spent >= self.deadline:
             return self._run_out(now)
         while self.phase is not Phase.PAUSED and self._timed:
             member = self.members[next(iter(self._timed))]
@@ -370,7 +385,7 @@
         if self.phase is not Phase.PAUSED:
             return []
         self.phase, self.reason = Phase.RUNNING, ""
-        self.forgiven = self._counts[State.REFUSED]
+        self.accepted_refusals = self._counts[MemberState.REFUSED]
         for name in list(self._timed):
             member = self.members[name]
             self._set(now, member, member.state, member.detail)
@@ -380,108 +395,110 @@
         """Stop here: who has it keeps it, who has not is named."""
         if not self.ended:
             for member in self.members.values():
-                if member.state in OUT:
+                if member.state in IN_PROGRESS:
                     detail = "no answer before the rollout was aborted"
-                    self._set(now, member, State.UNREACHABLE, detail, given_up=True)
+                    self._set(now, member, MemberState.UNREACHABLE, detail, given_up=True)
             self._end(Phase.ABORTED, reason)
         return self._take_actions()
 
-    def undo(self, now: float, reason: str, befores: Mapping[str, str]) -> list[Action]:
-        """Go back: whoever may have the target gets what `befores` names, by digest, in its place."""
+    def undo(self, now: float, reason: str, previous_digests: Mapping[str, str]) -> list[Action]:
+        """Go back: whoever may have the target gets what `previous_digests` names, by digest, in its place."""
         if self.kind == "restart" or self.phase in (Phase.UNDOING, Phase.UNDONE, Phase.SUPERSEDED):
             return []
         self.phase, self.reason = Phase.UNDOING, reason
-        self.until = self.spent(now) + self.plan.whole_s
+        self.deadline = self.spent(now) + self.plan.whole_s
         self.wave = self.waves - 1  # back in no order, at most so many out
         for member in self.members.values():
-            member.before = befores.get(member.name, member.before)
+            member.before = previous_digests.get(member.name, member.before)
             member.tries = 0
-            if member.state is State.PENDING:
-                self._set(now, member, State.UNDONE, "was never sent")
-            elif member.state is State.REFUSED and member.has == member.before and not member.holds:
-                self._set(now, member, State.UNDONE, f"had refused: {member.detail}")
-            elif member.state in UNDO_TO:
+            if member.state is MemberState.PENDING:
+                self._set(now, member, MemberState.UNDONE, "was never sent")
+            elif member.state is MemberState.REFUSED and member.has == member.before and not member.holds:
+                self._set(now, member, MemberState.UNDONE, f"had refused: {member.detail}")
+            elif member.state in UNDOABLE:
                 if member.connected:
-                    self._set(now, member, State.PENDING)
+                    self._set(now, member, MemberState.PENDING)
                 else:
-                    self._set(now, member, State.UNREACHABLE, "not connected")
+                    self._set(now, member, MemberState.UNREACHABLE, "not connected")
         return self._go_on(now)
 
     def supersede(self, now: float, by: int) -> list[Action]:
         """A later rollout takes over whoever has not settled."""
         if not self.ended:
             for member in self.members.values():
-                if member.state in (State.PENDING, State.UNREACHABLE, *OUT):
-                    self._set(now, member, State.SUPERSEDED, f"by rollout {by}")
+                if member.state in (MemberState.PENDING, MemberState.UNREACHABLE, *IN_PROGRESS):
+                    self._set(now, member, MemberState.SUPERSEDED, f"by rollout {by}")
             self._end(Phase.SUPERSEDED, f"by rollout {by}")
         return self._take_actions()
 
     # --- what members do ------------------------------------------------------------------------
 
     def _took(self, now: float, member: Member) -> None:
-        if member.state is not State.TOOK:
+        if member.state is not MemberState.TOOK:
             member.base = member.now
-            self._set(now, member, State.TOOK)
+            self._set(now, member, MemberState.TOOK)
             member.errors = []
 
     def _late(self, now: float, member: Member) -> list[Action]:
         """A rollout that has ended learns that a member has it after all."""
         if self.kind == "restart" or member.holds:
             return self._take_actions()
-        if self.phase is Phase.UNDONE and member.has == member.before and member.state is not State.UNDONE:
-            self._set(now, member, State.UNDONE)
+        if self.phase is Phase.UNDONE and member.has == member.before and member.state is not MemberState.UNDONE:
+            self._set(now, member, MemberState.UNDONE)
         elif self.phase in (Phase.DONE, Phase.INCOMPLETE) and member.has == member.target:
             self._took(now, member)
             if self.phase is Phase.INCOMPLETE and not self.missing():
                 self._end(Phase.DONE, "the last of them took it later")
         return self._take_actions()
 
-    def _again(self, now: float, member: Member, state: State) -> None:
+    def _again(self, now: float, member: Member, state: MemberState) -> None:
         """Its link was lost on the way: once more, if it has not been so too often."""
-        if member.tries >= MAX_TRIES:
-            self._set(now, member, State.REFUSED, f"its link was lost {member.tries} times after the send")
+        if member.tries >= MAX_SENDS:
+            self._set(now, member, MemberState.REFUSED, f"its link was lost {member.tries} times after the send")
         else:
             self._set(now, member, state)
 
     def _restart_seen(self, now: float, member: Member, boot: str) -> None:
         if member.told_boot and boot != member.told_boot:
             self._took(now, member)
-        elif member.state in (State.UNREACHABLE, State.RESTARTING, State.GONE):
-            self._again(now, member, State.PENDING)
+        elif member.state in (MemberState.UNREACHABLE, MemberState.RESTARTING, MemberState.GONE):
+            self._again(now, member, MemberState.PENDING)
 
     def _undo_seen(self, now: float, member: Member) -> None:
         if member.has == member.before and not member.holds:
-            self._set(now, member, State.UNDONE)
-        elif member.state is State.RESTARTING and member.boot == member.told_boot:
-            self._again(now, member, State.NEEDS_RESTART)
+            self._set(now, member, MemberState.UNDONE)
+        elif member.state is MemberState.RESTARTING and member.boot == member.told_boot:
+            self._again(now, member, MemberState.NEEDS_RESTART)
         else:
-            self._again(now, member, State.PENDING)
+            self._again(now, member, MemberState.PENDING)
 
     def _overdue(self, now: float, member: Member) -> None:
         state, detail = member.state, member.detail or "not connected"
-        if state is State.SENT:
+        if state is MemberState.SENT:
             detail = "sent, and no answer in time"
-        elif state is State.RESTARTING:
+        elif state is MemberState.RESTARTING:
             detail = "did not come back from its restart in time"
-        self._set(now, member, State.UNREACHABLE, detail, given_up=True)
-        if state is State.RESTARTING and self.phase is not Phase.UNDOING:
+        self._set(now, member, MemberState.UNREACHABLE, detail, given_up=True)
+        if state is MemberState.RESTARTING and self.phase is not Phase.UNDOING:
             # To go on would take out one more for each that stays away.
             self._trouble(now, f"{member.name} did not come back from its restart")
 
     # --- the books ------------------------------------------------------------------------------
 
-    def _set(self, now: float, member: Member, state: State, detail: str = "", given_up: bool = False) -> None:
+    def _set(
+        self, now: float, member: Member, state: MemberState, detail: str = "", given_up: bool = False
+    ) -> None:
         self._leave(member)
         member.state, member.detail, member.since = state, detail, self.spent(now)
         member.given_up = given_up
         self._enter(member)
-        self.dirty.add(member.name)
+        self.unsaved_members.add(member.name)
 
     def _enter(self, member: Member) -> None:
         self._counts[member.state] += 1
         if not self._settled(member):
             self._unsettled.setdefault(member.wave, set()).add(member.name)
-            if member.state in OUT or member.state is State.UNREACHABLE:
+            if member.state in IN_PROGRESS or member.state is MemberState.UNREACHABLE:
                 self._timed[member.name] = None
             else:
                 self._ready.setdefault(member.wave, {})[member.name] = None
@@ -494,12 +511,12 @@
 
     def _settled(self, member: Member) -> bool:
         """Whether nothing more is done for a member unless it does something itself."""
-        if member.state in (State.PENDING, *OUT) or self._will_restart(member):
+        if member.state in (MemberState.PENDING, *IN_PROGRESS) or self._will_restart(member):
             return False
-        return member.state is not State.UNREACHABLE or member.given_up
+        return member.state is not MemberState.UNREACHABLE or member.given_up
 
     def _will_restart(self, member: Member) -> bool:
-        return member.state is State.NEEDS_RESTART and self.plan.restart and member.keeps
+        return member.state is MemberState.NEEDS_RESTART and self.plan.restart and member.keeps
 
     # --- the way of the whole -------------------------------------------------------------------
 
@@ -507,8 +524,8 @@
         """Do whatever can be done now."""
         while not self.ended and self.phase is not Phase.PAUSED:
             if self.phase is not Phase.UNDOING and self._too_many_refused():
-                first = next(m for m in self.members.values() if m.state is State.REFUSED)
-                self._trouble(now, f"{self._counts[State.REFUSED]} refused ({first.name}: {first.detail})")
+                first = next(m for m in self.members.values() if m.state is MemberState.REFUSED)
+                self._trouble(now, f"{self._counts[MemberState.REFUSED]} refused ({first.name}: {first.detail})")
                 break
             self._fill(now)
             if self.phase is Phase.SOAKING or not self._wave_settled():
@@ -529,7 +546,7 @@
             return
         for wave in range(self.wave + 1):
             for name in list(self._ready.get(wave, ())):
-                if sum(self._counts[state] for state in OUT) >= self.plan.max_out:
+                if sum(self._counts[state] for state in IN_PROGRESS) >= self.plan.max_out:
                     return
                 self._next(now, self.members[name])
 
@@ -537,24 +554,24 @@
         """Do what can be done for a member now."""
         undoing = self.phase is Phase.UNDOING
         if not member.connected:
-            self._set(now, member, State.UNREACHABLE, "not connected")
-        elif member.state is State.NEEDS_RESTART or self.kind == "restart":
+            self._set(now, member, MemberState.UNREACHABLE, "not connected")
+        elif member.state is MemberState.NEEDS_RESTART or self.kind == "restart":
             member.told_boot = member.boot
             member.tries += 1
-            self._set(now, member, State.RESTARTING)
+            self._set(now, member, MemberState.RESTARTING)
             self._actions.append(Restart(member.name))
         elif member.has == member.target and not member.holds and not undoing:
             self._took(now, member)
         else:  # to undo it is sent whatever it last said: the target may be on its way
             member.tries += 1
-            self._set(now, member, State.SENT)
+            self._set(now, member, MemberState.SENT)
             self._actions.append(Send(member.name, undoing))
 
     def _wave_settled(self) -> bool:
         return not any(self._unsettled.get(wave) for wave in range(self.wave + 1))
 
     def _too_many_refused(self) -> bool:
-        refused = self._counts[State.REFUSED] - self.forgiven
+        refused = self._counts[MemberState.REFUSED] - self.accepted_refusals
         if refused > 0 and self.plan.canary and self.wave == 0 and self.waves > 1:
             return True  # what a canary refuses, the others are not asked
         return bool(self.plan.max_refused) and refused > self.plan.max_refused
@@ -566,7 +583,7 @@
         others: list[Answers] = []
         slices: list[tuple[Answers, ...]] = []
         for name, member in self.members.items():
-            if member.state is State.TOOK:
+            if member.state is MemberState.TOOK:
                 changed += _since(member.now, member.base)
                 before += Answers(*member.prior)
             elif member.wave > self.wave and name in self._others:
@@ -577,9 +594,9 @@
         if health.verdict is Verdict.EVERYWHERE:
             self.reason, self.soak_until = health.text, self.spent(now) + self.plan.soak_s
             for member in self.members.values():
-                if member.state is State.TOOK:
+                if member.state is MemberState.TOOK:
                     member.base = member.now  # judged again by what comes from here on
-                    self.dirty.add(member.name)
+                    self.unsaved_members.add(member.name)
             self._begin_soak()
             return
         self.phase, self.reason = Phase.RUNNING, ""
@@ -595,16 +612,18 @@
 
     def _trouble(self, now: float, text: str) -> None:
         self.phase, self.reason = Phase.PAUSED, text
-        nobody = not any(self._counts[state] for state in UNDO_TO)
+        nobody = not any(self._counts[state] for state in UNDOABLE)
         if self.kind == "change" and (self.plan.on_trouble == "undo" or nobody):
             # Where nobody has it, it is taken back by itself: it would be in the way of the next good change.
-            self._actions.append(UndoWanted(text))
+            self._actions.append(UndoRequested(text))
 
     def _run_out(self, now: float) -> list[Action]:
         """The whole rollout's time is over."""
         for member in self.members.values():
-            if member.state in OUT:
-                self._set(now, member, State.UNREACHABLE, "no answer before the rollout's end", given_up=True)
+            if member.state in IN_PROGRESS:
+                self._set(
+                    now, member, MemberState.UNREACHABLE, "no answer before the rollout's end", given_up=True
+                )
         if self.phase is Phase.UNDOING:
             self._finish()
         else:
@@ -615,7 +634,7 @@
         if self.phase is Phase.UNDOING:
             self._end(Phase.UNDONE, self.reason)
         else:
-            missing = [m for m in self.members.values() if m.state is not State.TOOK]
+            missing = [m for m in self.members.values() if m.state is not MemberState.TOOK]
             self._end(Phase.INCOMPLETE if missing else Phase.DONE, self.reason)
 
     def _end(self, phase: Phase, reason: str) -> None:
@@ -634,15 +653,15 @@
     def missing(self) -> list[Member]:
         """Every member that has not what it was to have, by name."""
         undone = self.phase in (Phase.UNDOING, Phase.UNDONE)
-        wanted = State.UNDONE if undone else State.TOOK
+        wanted = MemberState.UNDONE if undone else MemberState.TOOK
         return sorted((m for m in self.members.values() if m.state is not wanted), key=lambda m: m.name)
 
 
 def _last_wave(plan: Plan, count: int) -> int:
-    return max((w for w in waves(plan, count)), default=0)
+    return max((w for w in assign_waves(plan, count)), default=0)
 
 
-def waves(plan: Plan, count: int) -> list[int]:
+def assign_waves(plan: Plan, count: int) -> list[int]:
     """The wave of each of so many members, in order: 0 for the canaries, then one for each share. Waves that
     would be empty are left out."""
     bounds = [min(plan.canary, count)] + [math.ceil(share * count) for share in plan.shares] + [count]
@@ -656,37 +675,37 @@
     return found
 
 
-def members(
+def build_members(
     plan: Plan, names: Iterable[str], make: Callable[[str, int], Member]
 ) -> list[Member]:  # fmt: skip
     """Members in the order of their names, with their waves."""
     ordered = sorted(names)
-    return [make(name, wave) for name, wave in zip(ordered, waves(plan, len(ordered)), strict=True)]
+    return [make(name, wave) for name, wave in zip(ordered, assign_waves(plan, len(ordered)), strict=True)]
 
 
 # --- for the store --------------------------------------------------------------------------------
 
 
-def to_tables(rollout: Rollout, now: float) -> tuple[dict[str, Any], dict[str, dict[str, Any]]]:
+def to_rows(rollout: Rollout, now: float) -> tuple[dict[str, Any], dict[str, dict[str, Any]]]:
     """The rollout's row, and the rows of its dirty members by name."""
     head = {
         "kind": rollout.kind, "plan": asdict(rollout.plan), "phase": rollout.phase.value,
         "reason": rollout.reason, "wave": rollout.wave, "soak_until": rollout.soak_until,
-        "spent": rollout.spent(now), "until": rollout.until, "forgiven": rollout.forgiven,
+        "spent": rollout.spent(now), "until": rollout.deadline, "forgiven": rollout.accepted_refusals,
     }  # fmt: skip
-    return head, {name: asdict(rollout.members[name]) for name in rollout.dirty}
+    return head, {name: asdict(rollout.members[name]) for name in rollout.unsaved_members}
 
 
-def from_tables(number: int, head: dict[str, Any], rows: Iterable[dict[str, Any]], now: float) -> Rollout:
+def from_rows(number: int, head: dict[str, Any], rows: Iterable[dict[str, Any]], now: float) -> Rollout:
     """The rollout that the rows hold. No member counts as connected until it says so."""
     plan = Plan(**(head["plan"] | {"shares": tuple(head["plan"]["shares"])}))
     found = []
     for row in rows:
         pairs = {key: tuple(row[key]) for key in ("base", "now", "prior")}
-        found.append(Member(**(row | pairs | {"state": State(row["state"]), "connected": False})))
+        found.append(Member(**(row | pairs | {"state": MemberState(row["state"]), "connected": False})))
     rollout = Rollout(number, head["kind"], plan, found, now, head["spent"])
     rollout.phase, rollout.reason = Phase(head["phase"]), head["reason"]
     rollout.wave, rollout.soak_until = head["wave"], head["soak_until"]
-    rollout.until, rollout.forgiven = head["until"], head["forgiven"]
-    rollout.dirty.clear()
+    rollout.deadline, rollout.accepted_refusals = head["until"], head["forgiven"]
+    rollout.unsaved_members.clear()
     return rollout
--- a/covetally/fleet/running.py
+++ b/covetally/fleet/rollout_record.py
@@ -12,24 +12,24 @@
 
 
 @dataclass(slots=True)
-class Running:
+class RolloutRecord:
     """A rollout and the row that it is stored in."""
 
     rollout: Rollout
     row: RolloutRow
     selector: Selector
     queued: bool = False
-    undo_due: bool = False  # it has asked to be undone, and is before anything else is done
+    undo_requested: bool = False  # it has asked to be undone, and is before anything else is done
 
     @property
     def active(self) -> bool:
         """Whether it has not ended."""
         return not self.rollout.ended
 
-    def table(self, now: float, whole: bool = False) -> dict[str, Any]:
+    def as_dict(self, now: float, whole: bool = False) -> dict[str, Any]:
         """For the API."""
         r, row = self.rollout, self.row
-        phase = Phase.UNDOING if self.undo_due else r.phase
+        phase = Phase.UNDOING if self.undo_requested else r.phase
         table = {
             "number": r.number, "kind": r.kind, "revision": row.revision, "undo_revision": row.undo_revision,
             "selector": row.selector, "author": row.author, "reason": row.reason, "at": row.at,
@@ -50,6 +50,6 @@
     """A revision that is not written yet, and whom it means."""
 
     revision: Revision
-    meant: Selector
+    selector: Selector
     changes: list[dict[str, Any]]
     affected: list[Instance]
--- a/covetally/fleet/steady_clock.py
+++ b/covetally/fleet/steady_clock.py
@@ -47,6 +47,6 @@
         """Unix seconds."""
         return self._base + self._monotonic()
 
-    def text(self) -> str:
+    def to_json(self) -> str:
         """What `__init__` takes. To be kept whenever a promise is."""
         return json.dumps({"boot": self._boot, "base": self._base, "at": self.now()})
--- a/covetally/fleet/store.py
+++ b/covetally/fleet/store.py
@@ -19,7 +19,7 @@
 from covetally.fleet.document import Document
 
 FORMAT = 1
-CACHED = 64  # revisions kept in memory
+MAX_CACHED_REVISIONS = 64  # revisions kept in memory
 _SCHEMA = """
 CREATE TABLE meta (key TEXT PRIMARY KEY, value TEXT NOT NULL) WITHOUT ROWID;
 CREATE TABLE revisions (
@@ -63,21 +63,21 @@
     digest: str
     document: Document
 
-    def table(self, whole: bool = False) -> dict[str, Any]:
+    def as_dict(self, whole: bool = False) -> dict[str, Any]:
         """For the API."""
         table = {
             "number": self.number, "parent": self.parent, "at": self.at, "author": self.author,
             "reason": self.reason, "selector": self.selector, "digest": self.digest,
         }  # fmt: skip
-        return table | {"layers": self.document.table()} if whole else table
+        return table | {"layers": self.document.as_dicts()} if whole else table
 
 
-EMPTY = Revision(0, 0, 0.0, "", "nothing is managed", "", Document().digest(), Document())
+EMPTY_REVISION = Revision(0, 0, 0.0, "", "nothing is managed", "", Document().digest(), Document())
 
 
 @dataclass(slots=True)
 class RolloutRow:
-    """A rollout as it is stored; `head` and `members` are those of `rollout.to_tables`."""
+    """A rollout as it is stored; `head` and `members` are those of `rollout.to_rows`."""
 
     number: int
     revision: int
@@ -166,21 +166,21 @@
             "INSERT INTO revisions VALUES (?, ?, ?, ?, ?, ?, ?, ?)",
             (
                 revision.number, revision.parent, revision.at, revision.author, revision.reason,
-                revision.selector, revision.digest, revision.document.text(),
+                revision.selector, revision.digest, revision.document.to_json(),
             ),
         )  # fmt: skip
 
     def head(self) -> Revision:
-        """The newest revision, EMPTY if there is none."""
-        return self._revision("ORDER BY number DESC LIMIT 1", ()) or EMPTY
+        """The newest revision, EMPTY_REVISION if there is none."""
+        return self._revision("ORDER BY number DESC LIMIT 1", ()) or EMPTY_REVISION
 
     def revision(self, number: int) -> Revision | None:
         """One by its number."""
         if number == 0:
-            return EMPTY
+            return EMPTY_REVISION
         found = self._cache.get(number)
         if found is None and (found := self._revision("WHERE number=?", (number,))) is not None:
-            while len(self._cache) >= CACHED:
+            while len(self._cache) >= MAX_CACHED_REVISIONS:
                 del self._cache[next(iter(self._cache))]
             self._cache[number] = found
         return found
@@ -261,4 +261,4 @@
 
 
 def _revision(row: tuple[Any, ...]) -> Revision:
-    return Revision(*row[:7], document.from_table(json.loads(row[7])))
+    return Revision(*row[:7], document.from_dicts(json.loads(row[7])))
--- a/covetally/fleet/supervisor.py
+++ b/covetally/fleet/supervisor.py
@@ -20,7 +20,7 @@
 from typing import Any
 
 from covetally.errors import ConfigurationError
-from covetally.fleet.keeping import Keeping
+from covetally.fleet.restart_policy import RestartPolicy
 from covetally.fleet.store import Store
 
 log = logging.getLogger(__name__)
@@ -102,7 +102,7 @@
 @dataclass(slots=True)
 class _Kept:
     program: Program
-    keeping: Keeping = field(default_factory=Keeping)
+    restart_policy: RestartPolicy = field(default_factory=RestartPolicy)
     process: subprocess.Popen[bytes] | None = None  # None: it outlived the agent that started it
     pid: int = 0
     born: int = 0
@@ -124,7 +124,7 @@
             if kept is not None and pid and _born(pid) == born:
                 log.info("%s runs on as pid %d", name, pid)
                 kept.pid, kept.born = pid, born
-                kept.keeping.started(time.monotonic())
+                kept.restart_policy.record_start(time.monotonic())
         self._task = asyncio.create_task(self._run())
 
     def restart(self, name: str) -> bool:
@@ -132,8 +132,8 @@
         kept = self._kept.get(name)
         if kept is None:
             return False
-        if kept.keeping.state == "running":
-            kept.keeping.restart()
+        if kept.restart_policy.state == "running":
+            kept.restart_policy.plan_restart()
             self._signal(kept, signal.SIGTERM)
             kept.kill_at = time.monotonic() + kept.program.stop_s
         return True
@@ -142,8 +142,9 @@
         """Each process: its state, pid, crashes at its start in a row, and how it ended last."""
         return [
             {
-                "name": name, "state": "crash loop" if k.keeping.looping else k.keeping.state, "pid": k.pid,
-                "crashes": k.keeping.row, "last": k.keeping.last,
+                "name": name, "state": "crash loop" if k.restart_policy.crash_looping else k.restart_policy.state,
+                "pid": k.pid,
+                "crashes": k.restart_policy.startup_crashes, "last": k.restart_policy.last_exit,
             }
             for name, k in sorted(self._kept.items())
         ]  # fmt: skip
@@ -156,9 +157,9 @@
                 await self._task
         if not processes_too:
             return
-        running = [k for k in self._kept.values() if k.keeping.state == "running"]
+        running = [k for k in self._kept.values() if k.restart_policy.state == "running"]
         for kept in running:
-            kept.keeping.stop()
+            kept.restart_policy.stop()
             self._signal(kept, signal.SIGTERM)
         end = time.monotonic() + max((k.program.stop_s for k in running), default=0.0)
         while time.monotonic() < end and any(self._alive(k) for k in running):
@@ -178,21 +179,24 @@
             await asyncio.sleep(LOOK_S)
 
     def _look(self, kept: _Kept, now: float) -> None:
-        keeping = kept.keeping
-        if keeping.state == "running":
+        restart_policy = kept.restart_policy
+        if restart_policy.state == "running":
             if not self._alive(kept):
                 code = kept.process.returncode if kept.process is not None else None
                 how = "ended" if code is None else f"status {code}" if code >= 0 else f"signal {-code}"
-                was = keeping.looping
-                keeping.ended(now, how)
+                was = restart_policy.crash_looping
+                restart_policy.record_exit(now, how)
                 kept.pid, kept.process, kept.kill_at = 0, None, 0.0
                 log.info("%s: %s", kept.program.name, how)
-                if keeping.looping and not was:
-                    self._tell(kept.program.name, f"crash loop: {how}, {keeping.row} times in a row at its start")
+                if restart_policy.crash_looping and not was:
+                    self._tell(
+                        kept.program.name,
+                        f"crash loop: {how}, {restart_policy.startup_crashes} times in a row at its start",
+                    )
             elif kept.kill_at and now >= kept.kill_at:
                 kept.kill_at = 0.0
                 self._signal(kept, signal.SIGKILL)
-        if keeping.due(now):
+        if restart_policy.should_start(now):
             self._start(kept, now)
 
     def _start(self, kept: _Kept, now: float) -> None:
@@ -200,8 +204,8 @@
         try:
             output = open(program.log, "ab") if program.log else subprocess.DEVNULL  # noqa: SIM115
         except OSError as error:
-            kept.keeping.started(now)
-            kept.keeping.ended(now, f"log: {error}")
+            kept.restart_policy.record_start(now)
+            kept.restart_policy.record_exit(now, f"log: {error}")
             return
         try:
             kept.process = subprocess.Popen(
@@ -214,14 +218,14 @@
                 start_new_session=True,  # it is to outlive this agent
             )
         except OSError as error:
-            kept.keeping.started(now)
-            kept.keeping.ended(now, str(error))
+            kept.restart_policy.record_start(now)
+            kept.restart_policy.record_exit(now, str(error))
             return
         finally:
             if not isinstance(output, int):
                 output.close()
         kept.pid, kept.born = kept.process.pid, _born(kept.process.pid)
-        kept.keeping.started(now)
+        kept.restart_policy.record_start(now)
         self._store.save_process(program.name, kept.pid, kept.born)
 
     def _alive(self, kept: _Kept) -> bool:
--- a/tests/fleet/paper.py
+++ b/tests/fleet/simulated_fleet.py
@@ -1,5 +1,5 @@
-"""A fleet on paper around one rollout: instances that obey, refuse, stall, die and lose their links, and an agent
-that is killed and goes on from its tables. It asserts what must hold after every step."""
+"""A simulated fleet around one rollout: instances that obey, refuse, stall, die and lose their links, and an
+agent that is killed and goes on from its tables. It asserts what must hold after every step."""
 
 from __future__ import annotations
 
@@ -8,29 +8,29 @@
 from typing import Any
 
 from covetally.fleet.rollout import (
-    OUT,
+    IN_PROGRESS,
     Member,
     Phase,
     Plan,
     Restart,
     Rollout,
     Send,
-    State,
-    UndoWanted,
-    from_tables,
-    members,
-    to_tables,
+    MemberState,
+    UndoRequested,
+    from_rows,
+    build_members,
+    to_rows,
 )
 
 OLD, NEW, BACK = "old", "new", "back"
 
 
 @dataclass
-class Paper:
+class SimulatedInstance:
     """An instance as it really is."""
 
     name: str
-    nature: str = "obeys"  # refuses, stalls, dies, wants_restart, loses_ack
+    behavior: str = "obeys"  # refuses, stalls, dies, wants_restart, loses_ack
     has: str = OLD
     holds: str = ""
     boot: int = 1
@@ -40,23 +40,27 @@
 
 
 class Fleet:
-    """A rollout from OLD to NEW over paper instances; time only passes by `pass_time`."""
+    """A rollout from OLD to NEW over instance instances; time only passes by `pass_time`."""
 
-    def __init__(self, natures: list[str], plan: Plan | None = None, kind: str = "change") -> None:
-        self.papers = {f"i{n:02}": Paper(f"i{n:02}", nature) for n, nature in enumerate(natures)}
+    def __init__(self, behaviors: list[str], plan: Plan | None = None, kind: str = "change") -> None:
+        self.instances = {
+            f"i{n:02}": SimulatedInstance(f"i{n:02}", behavior) for n, behavior in enumerate(behaviors)
+        }
         self.now = 100.0
         self.plan = plan or Plan()
         self.undo_digest = OLD
         self.wanted: list[str] = []  # undos that the module asked for
-        made = members(self.plan, self.papers, lambda name, wave: Member(name, NEW, OLD, wave))
+        made = build_members(self.plan, self.instances, lambda name, wave: Member(name, NEW, OLD, wave))
         self.rollout = Rollout(7, kind, self.plan, made, self.now)
-        for paper in self.papers.values():
-            self._carry_out(self.rollout.connected(self.now, paper.name, self._boot(paper), paper.has))
+        for instance in self.instances.values():
+            self._carry_out(
+                self.rollout.on_connected(self.now, instance.name, self._boot(instance), instance.has)
+            )
         self.saved: tuple[dict, dict] = ({}, {})
         self.save()
 
-    def _boot(self, paper: Paper) -> str:
-        return f"{paper.name}-{paper.boot}"
+    def _boot(self, instance: SimulatedInstance) -> str:
+        return f"{instance.name}-{instance.boot}"
 
     def start(self) -> None:
         self._carry_out(self.rollout.start(self.now))
@@ -66,17 +70,17 @@
 
     def save(self) -> None:
         """What the store does: the head and the dirty rows, through JSON."""
-        head, rows = to_tables(self.rollout, self.now)
-        self.rollout.dirty.clear()
+        head, rows = to_rows(self.rollout, self.now)
+        self.rollout.unsaved_members.clear()
         kept = self.saved[1] | rows
         self.saved = (json.loads(json.dumps(head)), json.loads(json.dumps(kept)))
 
     def kill_agent(self) -> None:
         """The agent dies: links end, what was sent may or may not have come, answers are lost."""
-        for paper in self.papers.values():
-            paper.connected = False
+        for instance in self.instances.values():
+            instance.connected = False
         self.now += 3.0
-        self.rollout = from_tables(7, *self._rows(), self.now)
+        self.rollout = from_rows(7, *self._rows(), self.now)
         self._carry_out(self.rollout.start(self.now))
         self.save()
 
@@ -86,12 +90,12 @@
 
     def _carry_out(self, actions: list) -> None:
         for action in actions:
-            if isinstance(action, UndoWanted):
+            if isinstance(action, UndoRequested):
                 self.wanted.append(action.reason)
                 continue
-            paper = self.papers[action.name]
-            if paper.connected:
-                paper.inbox.append(action)
+            instance = self.instances[action.name]
+            if instance.connected:
+                instance.inbox.append(action)
         self.check()
 
     def feed(self, actions: list) -> None:
@@ -102,77 +106,81 @@
 
     def deliver(self, name: str) -> None:
         """An instance deals with the next thing sent to it, and its answer arrives."""
-        paper = self.papers[name]
-        if not paper.inbox or not paper.connected:
+        instance = self.instances[name]
+        if not instance.inbox or not instance.connected:
             return
-        action = paper.inbox.pop(0)
+        action = instance.inbox.pop(0)
         if isinstance(action, Restart):
-            if paper.nature == "stays_away":
+            if instance.behavior == "stays_away":
                 self.cut(name)
             else:
                 self.restart(name)
             return
         assert isinstance(action, Send)
         wanted = self.undo_digest if action.undo else NEW
-        if paper.nature == "stalls" and not action.undo:
+        if instance.behavior == "stalls" and not action.undo:
             return
-        if paper.nature == "dies" and not action.undo:
+        if instance.behavior == "dies" and not action.undo:
             self.restart(name)
             return
-        if paper.nature == "refuses" and not action.undo:
-            self._ack(paper, wanted, "refused", [{"key": "k", "reason": "no"}])
+        if instance.behavior == "refuses" and not action.undo:
+            self._ack(instance, wanted, "refused", [{"key": "k", "reason": "no"}])
             return
-        if paper.nature == "wants_restart" and paper.has != wanted:
-            paper.holds = wanted
-            self._ack(paper, wanted, "needs_restart", keys=["process.listen"])
+        if instance.behavior == "wants_restart" and instance.has != wanted:
+            instance.holds = wanted
+            self._ack(instance, wanted, "needs_restart", keys=["process.listen"])
             return
-        if paper.has != wanted:
-            paper.applied.append(wanted)
-        paper.has, paper.holds = wanted, ""
-        if paper.nature == "loses_ack":
-            paper.nature = "obeys"
+        if instance.has != wanted:
+            instance.applied.append(wanted)
+        instance.has, instance.holds = wanted, ""
+        if instance.behavior == "loses_ack":
+            instance.behavior = "obeys"
             self.cut(name)
             return
-        self._ack(paper, wanted, "took")
+        self._ack(instance, wanted, "took")
 
-    def _ack(self, paper: Paper, wanted: str, outcome: str, errors=(), keys=()) -> None:
+    def _ack(self, instance: SimulatedInstance, wanted: str, outcome: str, errors=(), keys=()) -> None:
         self.feed(
-            self.rollout.acked(self.now, paper.name, wanted, outcome, paper.has, list(errors), list(keys), True)
+            self.rollout.on_answer(
+                self.now, instance.name, wanted, outcome, instance.has, list(errors), list(keys), True
+            )
         )
 
     def cut(self, name: str) -> None:
-        paper = self.papers[name]
-        if paper.connected:
-            paper.connected = False
-            paper.inbox.clear()
-            self.feed(self.rollout.lost(self.now, name, "the link was lost"))
+        instance = self.instances[name]
+        if instance.connected:
+            instance.connected = False
+            instance.inbox.clear()
+            self.feed(self.rollout.on_connection_lost(self.now, name, "the link was lost"))
 
     def leave(self, name: str) -> None:
-        paper = self.papers[name]
-        if paper.connected:
-            paper.connected = False
-            paper.inbox.clear()
-            self.feed(self.rollout.left(self.now, name, "ended"))
+        instance = self.instances[name]
+        if instance.connected:
+            instance.connected = False
+            instance.inbox.clear()
+            self.feed(self.rollout.on_left(self.now, name, "ended"))
 
     def connect(self, name: str) -> None:
-        paper = self.papers[name]
-        if not paper.connected:
-            paper.connected = True
-            self.feed(self.rollout.connected(self.now, name, self._boot(paper), paper.has, paper.holds))
+        instance = self.instances[name]
+        if not instance.connected:
+            instance.connected = True
+            self.feed(
+                self.rollout.on_connected(self.now, name, self._boot(instance), instance.has, instance.holds)
+            )
 
     def restart(self, name: str) -> None:
-        paper = self.papers[name]
+        instance = self.instances[name]
         self.cut(name)
-        paper.boot += 1
-        if paper.holds:
-            paper.applied.append(paper.holds)
-            paper.has, paper.holds = paper.holds, ""
+        instance.boot += 1
+        if instance.holds:
+            instance.applied.append(instance.holds)
+            instance.has, instance.holds = instance.holds, ""
         self.connect(name)
 
     def beat(self, name: str, answers: int = 0, bad: int = 0) -> None:
-        paper = self.papers[name]
-        if paper.connected:
-            self.feed(self.rollout.beat(self.now, name, paper.has, paper.holds, answers, bad))
+        instance = self.instances[name]
+        if instance.connected:
+            self.feed(self.rollout.on_heartbeat(self.now, name, instance.has, instance.holds, answers, bad))
 
     def pass_time(self, seconds: float) -> None:
         self.now += seconds
@@ -189,12 +197,12 @@
         for _ in range(400):
             if self.rollout.phase is Phase.PAUSED:
                 self.feed(self.rollout.resume(self.now))
-            for name, paper in self.papers.items():
-                if paper.nature != "stays_away":
+            for name, instance in self.instances.items():
+                if instance.behavior != "stays_away":
                     self.connect(name)
-            while waiting := [n for n, p in self.papers.items() if p.inbox and p.connected]:
+            while waiting := [n for n, p in self.instances.items() if p.inbox and p.connected]:
                 self.deliver(waiting[0])
-            if any(not p.connected and p.nature != "stays_away" for p in self.papers.values()):
+            if any(not p.connected and p.behavior != "stays_away" for p in self.instances.values()):
                 continue
             if self.rollout.ended:
                 return
@@ -205,7 +213,7 @@
 
     def check(self) -> None:
         rollout = self.rollout
-        out = [m for m in rollout.members.values() if m.state in OUT]
+        out = [m for m in rollout.members.values() if m.state in IN_PROGRESS]
         assert len(out) <= rollout.plan.max_out, "more out than the plan allows"
         if rollout.ended:
             assert not out, "ended with something on its way"
@@ -215,18 +223,20 @@
                 or (rollout.phase is Phase.INCOMPLETE and rollout.reason)
             ), "ended with somebody never told, and no reason"
         for member in rollout.members.values():
-            assert isinstance(member.state, State)
+            assert isinstance(member.state, MemberState)
         named = {m.name for m in rollout.missing()}
-        wanted = State.UNDONE if rollout.phase in (Phase.UNDOING, Phase.UNDONE) else State.TOOK
+        wanted = MemberState.UNDONE if rollout.phase in (Phase.UNDOING, Phase.UNDONE) else MemberState.TOOK
         assert named == {m.name for m in rollout.members.values() if m.state is not wanted}
 
     def check_truth(self) -> None:
         """After `settle`: what is said of each instance is so."""
         for name, member in self.rollout.members.items():
-            paper = self.papers[name]
-            if member.state is State.TOOK:
-                assert paper.has == NEW, f"{name} is said to have it"
-            if member.state is State.UNDONE:
-                assert paper.has == OLD, f"{name} is said to be back"
-            if self.rollout.phase in (Phase.DONE, Phase.INCOMPLETE) and member.state is not State.TOOK:
-                assert paper.has != NEW or paper.nature == "stays_away", f"{name} has it and is named as missing"
+            instance = self.instances[name]
+            if member.state is MemberState.TOOK:
+                assert instance.has == NEW, f"{name} is said to have it"
+            if member.state is MemberState.UNDONE:
+                assert instance.has == OLD, f"{name} is said to be back"
+            if self.rollout.phase in (Phase.DONE, Phase.INCOMPLETE) and member.state is not MemberState.TOOK:
+                assert instance.has != NEW or instance.behavior == "stays_away", (
+                    f"{name} has it and is named as missing"
+                )
--- a/tests/fleet/test_agent.py
+++ b/tests/fleet/test_agent.py
@@ -16,7 +16,7 @@
 from covetally.control.orders import Orders
 from covetally.control.protocol import digest
 from covetally.fleet.agent import Agent
-from covetally.fleet.refused import Refused
+from covetally.fleet.errors import AgentRefusedError
 from covetally.fleet.audit import Audit
 from covetally.fleet.rollout import Plan
 from covetally.fleet.selector import parse
@@ -125,7 +125,7 @@
         wire = Wire(place.agent, "i0").dial()
         place.change("ann", limits__max_attempts=2)
         await place.settled()
-        with pytest.raises(Refused) as caught:
+        with pytest.raises(AgentRefusedError) as caught:
             place.change("bob", parent=0, limits__max_attempts=3)
         error = caught.value
         assert error.code == "conflict" and "revision 1 by ann" in str(error)
@@ -176,7 +176,7 @@
                     wires[value % 4] = Wire(
                         agent, wire.name, wire.revision, wire.values, wire.zone, wire.boot
                     ).dial()
-            except Refused as error:
+            except AgentRefusedError as error:
                 assert error.code in ("conflict", "busy", "bad_input", "unknown")
                 if error.code == "conflict" and what == "set":
                     assert seen[who] != head
@@ -194,7 +194,7 @@
         for wire in wires:
             instance = agent.instances[wire.name]
             assert digest(wire.values) == instance.digest
-            wanted = agent.drafts.wanted(instance)["digest"]
+            wanted = agent.drafts.desired_settings(instance)["digest"]
             named = {m.name for r in agent.rollouts() for m in r.rollout.missing()}
             assert instance.digest == wanted or wire.name in named
 
@@ -207,7 +207,7 @@
         wires = {z: Wire(agent, f"i{z}", zone=z).dial() for z in "ab"}
         wires["a"].silent = True
         place.change("ann", selector="zone=a", limits__max_attempts=2)
-        with pytest.raises(Refused, match="rollout 1 by ann .zone=a. is running"):
+        with pytest.raises(AgentRefusedError, match="rollout 1 by ann .zone=a. is running"):
             place.change("bob", limits__max_attempts=3)
         assert agent.head().number == 1, "a refused change leaves no revision"
         place.change("bob", selector="zone=b", limits__max_attempts=4)
@@ -266,7 +266,7 @@
         assert agent.head().number == 3 and "undo of revision 1" in agent.head().reason
         place.change("ann", selector="zone=a", log__level="error")
         await place.settled()
-        with pytest.raises(Refused, match="revision 4 by ann has changed the same settings since"):
+        with pytest.raises(AgentRefusedError, match="revision 4 by ann has changed the same settings since"):
             agent.steer("bob", 2, "undo", "")
 
     run(main)
@@ -359,7 +359,7 @@
         wires = [Wire(agent, f"i{i}", 41, common).dial() for i in range(3)]
         wires.append(Wire(agent, "odd", 40, own).dial())
         wires.append(Wire(agent, "fresh").dial())
-        with pytest.raises(Refused) as caught:
+        with pytest.raises(AgentRefusedError) as caught:
             place.change(log__level="error")
         assert caught.value.code == "recovering"
         while agent.status()["recovering"]:
@@ -415,7 +415,7 @@
 )
 def test_what_cannot_be_is_refused_before_anything_is_written(more, said):
     async def main(place):
-        with pytest.raises(Refused, match=said) as caught:
+        with pytest.raises(AgentRefusedError, match=said) as caught:
             place.change(**more)
         assert caught.value.code == "bad_input" and place.agent.head().number == 0
 
@@ -445,7 +445,7 @@
 def test_forgetting_is_for_those_who_are_away():
     async def main(place):
         wire = Wire(place.agent, "i0").dial()
-        with pytest.raises(Refused, match="is connected"):
+        with pytest.raises(AgentRefusedError, match="is connected"):
             place.agent.forget("ann", "i0")
         wire.end("cut")
         place.agent.forget("ann", "i0")
--- a/tests/fleet/test_agent_disk.py
+++ b/tests/fleet/test_agent_disk.py
@@ -122,8 +122,8 @@
                 ask()
         with pytest.raises(CannotKeepError):
             await agent.order(Command("drain", "ann"), "")
-        assert [row["state"] for row in agent.freezes.table(agent.clock.now())] == ["in force"]
-        assert agent.rollouts() == [] and agent.drains.run is None and not agent.orders.of("i0").draining
+        assert [row["state"] for row in agent.freezes.as_dicts(agent.clock.now())] == ["in force"]
+        assert agent.rollouts() == [] and agent.drains.run is None and not agent.orders.desired("i0").draining
         wire.end("gone")
         with pytest.raises(CannotKeepError):
             agent.forget("ann", "i0")
@@ -134,6 +134,6 @@
         agent.thaw("ann", 1)
         agent.close()
         place.open()
-        assert list(place.agent.instances) == [] and place.agent.freezes.table(0)[0]["state"] == "lifted"
+        assert list(place.agent.instances) == [] and place.agent.freezes.as_dicts(0)[0]["state"] == "lifted"
 
     run(main)
--- a/tests/fleet/test_freezes.py
+++ b/tests/fleet/test_freezes.py
@@ -16,19 +16,19 @@
 def test_a_freeze_holds_up_what_it_may_mean_until_it_lapses_or_is_lifted():
     freezes = Freezes()
     made = freezes.add("zone=a", 100.0, 60.0, "ann", "sale", "bob")
-    assert freezes.blocking(parse("zone=a"), "carl", 100.0) == made
-    assert freezes.blocking(parse(""), "carl", 159.0) == made
-    assert freezes.blocking(parse("zone=b"), "carl", 100.0) is None
-    assert freezes.blocking(parse("zone=a"), "bob", 100.0) is None
-    assert freezes.blocking(parse("zone=a"), "ann", 100.0) == made  # who froze is held up as well
-    assert freezes.blocking(parse("zone=a"), "carl", 160.0) is None
+    assert freezes.find_blocking(parse("zone=a"), "carl", 100.0) == made
+    assert freezes.find_blocking(parse(""), "carl", 159.0) == made
+    assert freezes.find_blocking(parse("zone=b"), "carl", 100.0) is None
+    assert freezes.find_blocking(parse("zone=a"), "bob", 100.0) is None
+    assert freezes.find_blocking(parse("zone=a"), "ann", 100.0) == made  # who froze is held up as well
+    assert freezes.find_blocking(parse("zone=a"), "carl", 160.0) is None
     assert freezes.lift(made.number, 160.0, "ann") is None
     other = freezes.add("", 200.0, 60.0, "ann", "", "")
     assert freezes.lift(other.number, 210.0, "dora").ended_by == "dora"
-    assert freezes.blocking(parse(""), "carl", 211.0) is None
-    assert [row["state"] for row in freezes.table(211.0)] == ["lifted", "lapsed"]
+    assert freezes.find_blocking(parse(""), "carl", 211.0) is None
+    assert [row["state"] for row in freezes.as_dicts(211.0)] == ["lifted", "lapsed"]
     freezes.add("", 260.0 + SHOWN_S, 1.0, "ann", "", "")
-    assert len(freezes.table(261.0 + SHOWN_S)) == 1
+    assert len(freezes.as_dicts(261.0 + SHOWN_S)) == 1
 
 
 STEPS = st.lists(st.tuples(st.sampled_from(["add", "lift", "wait"]), st.integers(1, 50)), max_size=30)
@@ -47,8 +47,8 @@
             model[number] = min(model.get(number, 0.0), now)
         else:
             now += figure
-        freezes = Freezes(freezes.text())
-        held = freezes.blocking(parse("zone=a"), "x", now) is not None
+        freezes = Freezes(freezes.to_json())
+        held = freezes.find_blocking(parse("zone=a"), "x", now) is not None
         assert held is any(end > now for end in model.values())
 
 
--- a/tests/fleet/test_parts.py
+++ b/tests/fleet/test_parts.py
@@ -1,4 +1,4 @@
-"""The agent's parts without processes: selectors, documents, store, audit, tokens, keeping."""
+"""The agent's parts without processes: selectors, documents, store, audit, tokens, restart_policy."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 from covetally.fleet import audit, document, supervisor, tokens
 from covetally.fleet.api import plan_from
 from covetally.fleet.document import Document
-from covetally.fleet.keeping import Keeping
-from covetally.fleet.registry import sane_counts, sane_labels
+from covetally.fleet.restart_policy import RestartPolicy
+from covetally.fleet.registry import valid_counts, valid_labels
 from covetally.fleet.rollout import Plan
 from covetally.fleet.selector import Selector, SelectorError, parse
 from covetally.fleet.store import Revision, RolloutRow, Store, StoreError
@@ -70,18 +70,18 @@
 
 
 def test_layers_come_in_their_order_and_an_instance_knows_where_a_setting_is_from():
-    made = Document().replaced(parse("zone=a"), {"x": 1, "y": 1}).replaced(Selector(), {"x": 0, "z": 0})
+    made = Document().with_layer(parse("zone=a"), {"x": 1, "y": 1}).with_layer(Selector(), {"x": 0, "z": 0})
     assert [str(x.selector) for x in made.layers] == ["", "zone=a"]
     assert made.effective("n", {"zone": "a"}) == {"x": 1, "y": 1, "z": 0}
     assert made.effective("n", {}) == {"x": 0, "z": 0}
-    assert made.origin("n", {"zone": "a"}) == {"x": "zone=a", "y": "zone=a", "z": ""}
-    assert document.from_table(made.table()) == made
-    assert made.replaced(parse("zone=a"), {}) == Document().replaced(Selector(), {"x": 0, "z": 0})
+    assert made.origins("n", {"zone": "a"}) == {"x": "zone=a", "y": "zone=a", "z": ""}
+    assert document.from_dicts(made.as_dicts()) == made
+    assert made.with_layer(parse("zone=a"), {}) == Document().with_layer(Selector(), {"x": 0, "z": 0})
 
 
 def test_the_difference_names_every_key():
-    old = Document().replaced(Selector(), {"x": 0, "y": 1})
-    new = old.replaced(Selector(), {"x": 2, "y": 1}).replaced(parse("zone=a"), {"q": 5})
+    old = Document().with_layer(Selector(), {"x": 0, "y": 1})
+    new = old.with_layer(Selector(), {"x": 2, "y": 1}).with_layer(parse("zone=a"), {"q": 5})
     assert document.difference(old, new) == [
         {"selector": "", "key": "x", "old": 0, "new": 2},
         {"selector": "zone=a", "key": "q", "old": None, "new": 5},
@@ -92,7 +92,7 @@
 
 
 def _revision(number: int) -> Revision:
-    made = Document().replaced(Selector(), {"limits.max_attempts": number})
+    made = Document().with_layer(Selector(), {"limits.max_attempts": number})
     return Revision(number, number - 1, 1.5, "ann", "why", "", made.digest(), made)
 
 
@@ -216,32 +216,32 @@
 
 
 def test_a_process_that_ends_is_started_again_later_each_time_and_a_loop_is_named():
-    keeping, now, pauses = Keeping(), 100.0, []
+    restart_policy, now, pauses = RestartPolicy(), 100.0, []
     for _ in range(6):
-        assert keeping.due(now)
-        keeping.started(now)
+        assert restart_policy.should_start(now)
+        restart_policy.record_start(now)
         now += 1.0
-        keeping.ended(now, "status 1")
-        pauses.append(keeping.start_at - now)
-        now = keeping.start_at
+        restart_policy.record_exit(now, "status 1")
+        pauses.append(restart_policy.start_at - now)
+        now = restart_policy.start_at
     assert pauses == [1.0, 2.0, 4.0, 8.0, 60.0, 60.0]
-    assert keeping.looping and keeping.last == "status 1"
-    keeping.started(now)
+    assert restart_policy.crash_looping and restart_policy.last_exit == "status 1"
+    restart_policy.record_start(now)
     now += 11.0
-    keeping.ended(now, "status 1")
-    assert not keeping.looping, "it has lived"
+    restart_policy.record_exit(now, "status 1")
+    assert not restart_policy.crash_looping, "it has lived"
 
 
 def test_a_planned_restart_waits_for_nothing_and_a_stop_starts_nothing():
-    keeping = Keeping()
-    keeping.started(0.0)
-    keeping.restart()
-    keeping.ended(0.5, "status 0")
-    assert keeping.due(0.5)
-    keeping.started(0.5)
-    keeping.stop()
-    keeping.ended(1.0, "status 0")
-    assert not keeping.due(1e9)
+    restart_policy = RestartPolicy()
+    restart_policy.record_start(0.0)
+    restart_policy.plan_restart()
+    restart_policy.record_exit(0.5, "status 0")
+    assert restart_policy.should_start(0.5)
+    restart_policy.record_start(0.5)
+    restart_policy.stop()
+    restart_policy.record_exit(1.0, "status 0")
+    assert not restart_policy.should_start(1e9)
 
 
 # --- what comes from outside ------------------------------------------------------------------------
@@ -279,6 +279,6 @@
 
 
 def test_what_an_instance_says_of_itself_is_taken_for_no_more_than_it_is():
-    assert sane_counts({"a": [1, 2, 3, 4], "b": [1], "c": "x", "d": [1, 2, 3, True]}) == {"a": [1, 2, 3, 4]}
-    assert sane_labels({"zone": "a", "x": 3}) == {"zone": "a"}
-    assert len(sane_labels({str(i): "x" for i in range(99)})) == 32
+    assert valid_counts({"a": [1, 2, 3, 4], "b": [1], "c": "x", "d": [1, 2, 3, True]}) == {"a": [1, 2, 3, 4]}
+    assert valid_labels({"zone": "a", "x": 3}) == {"zone": "a"}
+    assert len(valid_labels({str(i): "x" for i in range(99)})) == 32
--- a/tests/fleet/test_preflight.py
+++ b/tests/fleet/test_preflight.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from covetally.fleet import preflight
-from covetally.fleet.document import Document, taken_back
+from covetally.fleet.document import Document, reverted_layer
 from covetally.fleet.selector import parse
 
 PROBLEM = {"key": "k", "reason": "no", "value": 1, "remedy": ""}
@@ -58,8 +58,8 @@
 def test_taking_back_one_change_leaves_what_others_changed(parent, mine, theirs):
     """Against a plain model: what mine changed is as before it, all else as the head has it."""
     every = parse("")
-    made = [Document().replaced(every, layer) for layer in (parent, mine, theirs)]
-    got = taken_back(made[2], made[1], made[0], every)
+    made = [Document().with_layer(every, layer) for layer in (parent, mine, theirs)]
+    got = reverted_layer(made[2], made[1], made[0], every)
     for key in "abcd":
         changed = parent.get(key) != mine.get(key)
         assert got.get(key) == (parent if changed else theirs).get(key)
--- a/tests/fleet/test_rollout.py
+++ b/tests/fleet/test_rollout.py
@@ -7,10 +7,10 @@
 from hypothesis import settings as profile
 from hypothesis import strategies as st
 
-from covetally.fleet.rollout import ENDED, Member, Phase, Plan, State, waves
-from tests.fleet.paper import NEW, OLD, Fleet, Paper
+from covetally.fleet.rollout import TERMINAL_PHASES, Member, Phase, Plan, MemberState, assign_waves
+from tests.fleet.simulated_fleet import NEW, OLD, Fleet, SimulatedInstance
 
-NATURES = ("obeys", "refuses", "stalls", "dies", "wants_restart", "loses_ack")
+BEHAVIORS = ("obeys", "refuses", "stalls", "dies", "wants_restart", "loses_ack")
 
 
 def states(fleet: Fleet) -> dict[str, str]:
@@ -18,8 +18,8 @@
 
 
 def run_all(fleet: Fleet) -> None:
-    for name in fleet.papers:
-        while fleet.papers[name].inbox and fleet.papers[name].connected:
+    for name in fleet.instances:
+        while fleet.instances[name].inbox and fleet.instances[name].connected:
             fleet.deliver(name)
 
 
@@ -41,7 +41,7 @@
     assert len(sent()) == 3, "one came in, the next goes out"
     fleet.settle()
     assert fleet.rollout.phase is Phase.DONE
-    assert all(p.applied == [NEW] for p in fleet.papers.values())
+    assert all(p.applied == [NEW] for p in fleet.instances.values())
 
 
 @pytest.mark.parametrize(
@@ -56,11 +56,11 @@
     ],
 )
 def test_waves_are_canaries_then_shares_and_the_last_takes_the_rest(count, plan, expected):
-    assert waves(plan, count) == expected
+    assert assign_waves(plan, count) == expected
 
 
 @pytest.mark.parametrize(
-    "nature, state, text",
+    "behavior, state, text",
     [
         ("refuses", "refused", "k: no"),
         ("stalls", "unreachable", "sent, and no answer in time"),
@@ -69,8 +69,8 @@
         ("loses_ack", "took", ""),
     ],
 )
-def test_each_kind_of_trouble_ends_in_its_state_and_is_named(nature, state, text):
-    fleet = Fleet(["obeys", nature, "obeys"], Plan(soak_s=0))
+def test_each_kind_of_trouble_ends_in_its_state_and_is_named(behavior, state, text):
+    fleet = Fleet(["obeys", behavior, "obeys"], Plan(soak_s=0))
     fleet.start()
     fleet.settle()
     member = fleet.rollout.members["i01"]
@@ -78,7 +78,7 @@
     assert text in member.detail
     assert [m.name for m in fleet.rollout.missing()] == ([] if state == "took" else ["i01"])
     assert fleet.rollout.phase is (Phase.DONE if state == "took" else Phase.INCOMPLETE)
-    assert fleet.papers["i01"].applied.count(NEW) <= 1
+    assert fleet.instances["i01"].applied.count(NEW) <= 1
     fleet.check_truth()
 
 
@@ -91,7 +91,7 @@
     assert fleet.rollout.phase is Phase.INCOMPLETE
     assert states(fleet) == {"i00": "took", "i01": "unreachable"}
     assert "not connected" in fleet.rollout.members["i01"].detail
-    fleet.papers["i01"].has = NEW  # the agent brings it there outside of the rollout
+    fleet.instances["i01"].has = NEW  # the agent brings it there outside of the rollout
     fleet.connect("i01")
     assert states(fleet)["i01"] == "took" and fleet.rollout.phase is Phase.DONE
 
@@ -102,7 +102,7 @@
     fleet.settle()
     assert fleet.rollout.phase is Phase.DONE
     fleet.cut("i01")
-    fleet.feed(fleet.rollout.connected(fleet.now, "i01", "another", OLD, "", NEW, "ended soon after"))
+    fleet.feed(fleet.rollout.on_connected(fleet.now, "i01", "another", OLD, "", NEW, "ended soon after"))
     assert fleet.rollout.phase is Phase.INCOMPLETE
     assert [(m.name, m.detail) for m in fleet.rollout.missing()] == [("i01", "ended soon after")]
 
@@ -125,8 +125,8 @@
     assert states(fleet)["i00"] == "restarting"
     fleet.leave("i00")
     assert states(fleet)["i00"] == "restarting"
-    fleet.papers["i00"].boot += 1
-    fleet.papers["i00"].has, fleet.papers["i00"].holds = NEW, ""
+    fleet.instances["i00"].boot += 1
+    fleet.instances["i00"].has, fleet.instances["i00"].holds = NEW, ""
     fleet.connect("i00")
     assert states(fleet)["i00"] == "took"
     fleet.leave("i01")
@@ -137,7 +137,9 @@
 def test_a_member_without_a_file_to_keep_it_in_is_not_restarted_for_nothing():
     fleet = Fleet(["obeys"], Plan(soak_s=0, restart=True))
     fleet.start()
-    fleet.feed(fleet.rollout.acked(fleet.now, "i00", NEW, "needs_restart", OLD, [], ["process.listen"], False))
+    fleet.feed(
+        fleet.rollout.on_answer(fleet.now, "i00", NEW, "needs_restart", OLD, [], ["process.listen"], False)
+    )
     assert states(fleet) == {"i00": "needs_restart"}
     assert "control.keep" in fleet.rollout.members["i00"].detail
     assert fleet.rollout.phase is Phase.INCOMPLETE
@@ -147,7 +149,7 @@
     fleet = Fleet(["obeys", "obeys", "stays_away", "obeys", "obeys"],
                   Plan(canary=0, shares=(1.0,), max_out=1, soak_s=0), "restart")  # fmt: skip
     fleet.start()
-    for name in fleet.papers:
+    for name in fleet.instances:
         fleet.deliver(name)
     assert states(fleet) == {
         "i00": "took", "i01": "took", "i02": "restarting", "i03": "pending", "i04": "pending",
@@ -161,7 +163,7 @@
 def test_an_instance_that_will_not_restart_is_named():
     fleet = Fleet(["obeys"], Plan(soak_s=0), "restart")
     fleet.start()
-    fleet.feed(fleet.rollout.denied(fleet.now, "i00", "control.may_restart is not set"))
+    fleet.feed(fleet.rollout.on_restart_refused(fleet.now, "i00", "control.may_restart is not set"))
     assert states(fleet) == {"i00": "refused"} and fleet.rollout.phase is Phase.INCOMPLETE
 
 
@@ -239,7 +241,7 @@
 def test_after_another_start_of_the_agent_the_others_are_counted_from_there():
     fleet = soaked(300, 320)
     fleet.kill_agent()
-    for name in sorted(fleet.papers):
+    for name in sorted(fleet.instances):
         fleet.connect(name)
     fleet.beat("i01", 8000, 3820)
     fleet.beat("i00", 2000, 600)
@@ -284,17 +286,17 @@
     fleet.settle()
     assert fleet.rollout.phase is Phase.UNDONE
     assert states(fleet) == {"i00": "undone", "i01": "undone", "i02": "undone", "i03": "undone"}
-    assert all(p.has == OLD for p in fleet.papers.values())
+    assert all(p.has == OLD for p in fleet.instances.values())
 
 
 def test_undo_takes_back_what_waits_for_a_restart_too():
     fleet = Fleet(["wants_restart"], Plan(soak_s=0))
     fleet.start()
     fleet.deliver("i00")
-    assert fleet.papers["i00"].holds == NEW
+    assert fleet.instances["i00"].holds == NEW
     fleet.undo()
     fleet.settle()
-    assert fleet.papers["i00"].holds == "" and states(fleet) == {"i00": "undone"}
+    assert fleet.instances["i00"].holds == "" and states(fleet) == {"i00": "undone"}
 
 
 def test_abort_leaves_everybody_as_it_is_and_names_who_has_not():
@@ -325,16 +327,16 @@
     fleet.undo()
     assert fleet.rollout.phase is Phase.UNDOING
     fleet.settle()
-    assert fleet.papers["i00"].has == OLD
+    assert fleet.instances["i00"].has == OLD
 
 
 def test_one_that_nobody_knew_joins_the_last_wave():
     fleet = Fleet(["obeys", "obeys"], Plan(canary=1, shares=(1.0,), soak_s=5))
     fleet.start()
     fleet.deliver("i00")
-    fleet.papers["new"] = Paper("new")
+    fleet.instances["new"] = SimulatedInstance("new")
     member = Member("new", NEW, OLD, 0, connected=True, boot="b")
-    fleet.feed(fleet.rollout.join(fleet.now, member))
+    fleet.feed(fleet.rollout.add_member(fleet.now, member))
     assert states(fleet)["new"] == "pending"
     fleet.settle()
     assert states(fleet)["new"] == "took"
@@ -342,8 +344,8 @@
 
 def _scenario() -> Fleet:
     """Something of everything, for the enumeration of kills."""
-    natures = ["obeys", "wants_restart", "refuses", "loses_ack", "dies", "stalls", "obeys", "obeys"]
-    return Fleet(natures, Plan(canary=1, shares=(0.5, 1.0), max_out=3, soak_s=2, restart=True, instance_s=5))
+    behaviors = ["obeys", "wants_restart", "refuses", "loses_ack", "dies", "stalls", "obeys", "obeys"]
+    return Fleet(behaviors, Plan(canary=1, shares=(0.5, 1.0), max_out=3, soak_s=2, restart=True, instance_s=5))
 
 
 class _Killed(Exception):
@@ -383,7 +385,7 @@
     for kill_at in range(1, transitions + 1):
         fleet, _ = _play(kill_at)
         assert states(fleet) == expected, f"killed after transition {kill_at}"
-        assert all(p.applied.count(NEW) <= 1 for p in fleet.papers.values()), "applied twice"
+        assert all(p.applied.count(NEW) <= 1 for p in fleet.instances.values()), "applied twice"
         fleet.check_truth()
 
 
@@ -392,7 +394,7 @@
     for kill_at in range(9, transitions + 1):
         fleet, _ = _play(kill_at, undo_at=8)
         assert fleet.rollout.phase is Phase.UNDONE
-        assert all(p.has == OLD and not p.holds for p in fleet.papers.values()), f"killed at {kill_at}"
+        assert all(p.has == OLD and not p.holds for p in fleet.instances.values()), f"killed at {kill_at}"
 
 
 STEPS = st.one_of(
@@ -405,17 +407,17 @@
 
 @profile(max_examples=300, derandomize=True, deadline=None, database=None)
 @given(
-    st.lists(st.sampled_from(NATURES), min_size=1, max_size=8),
+    st.lists(st.sampled_from(BEHAVIORS), min_size=1, max_size=8),
     st.lists(STEPS, max_size=50),
     st.booleans(),
     st.integers(1, 4),
     st.sampled_from(["change", "change", "restart"]),
 )
-def test_whatever_happens_every_instance_ends_in_one_state_that_is_true(natures, steps, restart, max_out, kind):
+def test_whatever_happens_every_instance_ends_in_one_state_that_is_true(behaviors, steps, restart, max_out, kind):
     plan = Plan(canary=1, shares=(0.5, 1.0), max_out=max_out, soak_s=2, restart=restart, max_refused=2)
-    fleet = Fleet(natures, plan, kind)
+    fleet = Fleet(behaviors, plan, kind)
     fleet.start()
-    names = list(fleet.papers)
+    names = list(fleet.instances)
     for what, number in steps:
         name = names[number % len(names)]
         rollout, now = fleet.rollout, fleet.now
@@ -437,9 +439,9 @@
             case "supersede":
                 fleet.feed(rollout.supersede(now, 9))
     fleet.settle()
-    assert fleet.rollout.phase in ENDED
+    assert fleet.rollout.phase in TERMINAL_PHASES
     if kind == "change":
         fleet.check_truth()
-        assert all(p.applied.count(NEW) <= 1 + p.applied.count(OLD) for p in fleet.papers.values())
+        assert all(p.applied.count(NEW) <= 1 + p.applied.count(OLD) for p in fleet.instances.values())
     for member in fleet.rollout.members.values():
-        assert member.state not in (State.SENT, State.RESTARTING)
+        assert member.state not in (MemberState.SENT, MemberState.RESTARTING)
--- a/tests/fleet/test_steady_clock.py
+++ b/tests/fleet/test_steady_clock.py
@@ -35,20 +35,20 @@
     machine, freezes = Machine(), Freezes()
     clock = machine.clock()
     freezes.add("", clock.now(), 600.0, "mara", "the campaign", "")
-    kept, text = clock.text(), freezes.text()
+    kept, text = clock.to_json(), freezes.to_json()
     machine.wall += step
     machine.passes(300.0)
-    assert freezes.blocking(parse(""), "leo", clock.now())
+    assert freezes.find_blocking(parse(""), "leo", clock.now())
     clock, freezes = machine.clock(kept), Freezes(text)  # a restart
     machine.passes(299.0)
-    assert freezes.blocking(parse(""), "leo", clock.now())
+    assert freezes.find_blocking(parse(""), "leo", clock.now())
     machine.passes(2.0)
-    assert not freezes.blocking(parse(""), "leo", clock.now())
+    assert not freezes.find_blocking(parse(""), "leo", clock.now())
 
 
 def test_after_a_reboot_the_wall_clock_is_believed_unless_it_went_back():
     machine = Machine()
-    kept = machine.clock().text()
+    kept = machine.clock().to_json()
     machine.reboots(down_s=60.0)
     assert machine.clock(kept).now() == pytest.approx(1_000_060.0)
     machine.wall -= HOUR
@@ -59,7 +59,7 @@
 def test_without_a_boot_id_the_wall_clock_is_believed_and_this_machine_has_one():
     machine = Machine()
     machine.boot = ""
-    kept = machine.clock().text()
+    kept = machine.clock().to_json()
     machine.wall += HOUR
     assert machine.clock(kept).now() == pytest.approx(machine.wall)
     assert len(boot_id()) == 36
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -11,7 +11,7 @@
 from covetally.errors import CindersailError
 from covetally.errors.page import page, types
 from covetally.fleet import serve
-from covetally.fleet.refused import Refused
+from covetally.fleet.errors import AgentRefusedError
 from covetally.fleet.serve import StartError
 from covetally.net.config import ConfigError, load
 from tests.test_process import ROOT
@@ -49,7 +49,7 @@
     error = CindersailError("it broke", "Mend it.")
     assert error.table() == {"code": "failed", "error": "it broke", "remedy": "Mend it."}
     assert error.line() == "it broke [failed]: Mend it."
-    assert isinstance(Refused("busy", "x"), CindersailError)
+    assert isinstance(AgentRefusedError("busy", "x"), CindersailError)
     assert client.BAD_INPUT == 2
 
 
