--- a/covetally/net/client_connection.py
+++ b/covetally/net/client_connection.py
@@ -188,7 +188,7 @@
             self.close(_TIMEOUT_REASONS[self._phase])
 
     def evict(self) -> None:
-        """Close at once, because the tenant's connection cap was lowered (see covetally/caps/gate.py)."""
+        """Close at once, because the tenant's connection cap was lowered (see caps/connection_limiter.py)."""
         self.close(CloseReason.TENANT_CAP)
 
     def reject_incomplete_request(self) -> None:
