--- a/covetally/fleet/agent.py
+++ b/covetally/fleet/agent.py
@@ -20,7 +20,7 @@
 from covetally.fleet.audit import Audit
 from covetally.fleet.document import changed_keys, reverted_layer
 from covetally.fleet.drafts import Drafts, recovered_document
-from covetally.fleet.drains import Drains, Wanted
+from covetally.fleet.drains import Drains, DrainRequest
 from covetally.fleet.freezes import Freezes
 from covetally.fleet.agent_state import AgentState
 from covetally.fleet.links import Link
@@ -580,7 +580,7 @@
         self._try_to_flush()
         return {"rollout": running.as_dict(self._now())}
 
-    def start_drain(self, who: str, wanted: Wanted, reason: str, selector: str) -> dict[str, Any]:
+    def start_drain(self, who: str, wanted: DrainRequest, reason: str, selector: str) -> dict[str, Any]:
         """Begin a drain order; AgentRefusedError, or an error of `drainplan`, if that cannot be."""
         self._ready()
         meant = self._selector(selector)
--- a/covetally/fleet/api.py
+++ b/covetally/fleet/api.py
@@ -23,7 +23,7 @@
 from covetally.fleet.agent import Agent
 from covetally.fleet.orders import Command
 from covetally.fleet.errors import AgentRefusedError
-from covetally.fleet.drains import Wanted
+from covetally.fleet.drains import DrainRequest
 from covetally.fleet.audit import Audit
 from covetally.fleet.rollout import Plan
 from covetally.fleet.tokens import Tokens
@@ -354,7 +354,9 @@
             key: float(_take(body, key, (int, float), default))
             for key, default in (("drain_s", 5.0), ("return_s", 10.0), ("warm_s", 0.0), ("after_loss", 0.0))
         }
-        wanted = Wanted(tuple(i.name for i in found), what, _floors(_take(body, "floors", list, [])), **figures)
+        wanted = DrainRequest(
+            tuple(i.name for i in found), what, _floors(_take(body, "floors", list, [])), **figures
+        )
         if _take(body, "dry_run", bool, False):
             return web.json_response({"plan": self._agent.drains.preview(wanted)})
         return web.json_response(self._agent.start_drain(
--- a/covetally/fleet/drains.py
+++ b/covetally/fleet/drains.py
@@ -1,16 +1,22 @@
-"""Drain orders carried out by the agent: who is out, permits, the order under way. What is decided is in
-`covetally/drainplan`; here it is written down, then told, and matched with what is seen.
-
-    step                                        if the agent dies right after it
-    ----                                        --------------------------------
-    permits and order are written, in one       nobody was told; who still serves in the process of then is told,
-    commit, with the process that each has      and counts as out until it is seen in another one
-    a holder is told, and that is noted         the same: it may have been noted before the supervisor had done it
-    it is seen out, or in another process       as if that had been noted
-    a holder is seen back, its permit ends      it is seen again
-
-A new agent listens first: nothing is told before LISTENS_S have passed, and it acts in an epoch above all that
-the store and the sidecars know. A sidecar refuses what is of a lower epoch than it has heard of.
+"""The agent's side of drain orders: which sidecars are out of service, the permits, and the current order.
+`covetally/drainplan` makes the decisions; this module saves them, then notifies the sidecars, and compares the
+result with what it observes.
+
+    step                                      if the agent crashes right after it
+    ----                                      -----------------------------------
+    the order and its permits are saved in    no sidecar was notified: each permit holder that still runs the same
+    one commit, with the boot id of each      process is notified, and counts as out until it runs another process
+    permit holder
+    a permit holder is notified, and the      the same: the notification may have been saved before the supervisor
+    notification is saved                     restarted the process
+    a permit holder is observed out of        as if the notification had been saved
+    service, or in another process
+    a permit holder is observed back in       the same is observed again
+    service, and its permit ends
+
+After a start, the agent only listens for LISTEN_S and notifies no sidecar. It then acts in a new epoch, above all
+epochs that the store and the sidecars know. A sidecar refuses messages of an epoch lower than the highest it has
+seen.
 """
 
 from __future__ import annotations
@@ -34,134 +40,136 @@
 
 log = logging.getLogger(__name__)
 
-LISTENS_S = 3.0
-LOOK_S = 0.2
-LINE_S = 1.0  # between two looks at the overload line
-LINE_ASKED = 5  # sidecars asked for it
-FRESH_S = 1.0  # all have been asked whether they are there so shortly before permits are given
-KEPT = "drains"
+LISTEN_S = 3.0
+TICK_S = 0.2
+OVERLOAD_POLL_S = 1.0  # interval between two polls of the admission threshold
+OVERLOAD_SAMPLE = 5  # sidecars polled for it
+PROBE_VALID_S = 1.0  # permits are issued only if all sidecars were probed within this time
+STORE_KEY = "drains"
 
 
 class AgentOperations(Protocol):
-    """What the agent does for it."""
+    """What a drain order needs from the agent."""
 
     instances: dict[str, Instance]
 
     async def step(self, name: str, what: str, epoch: int) -> str:
-        """Tell an instance to restart or to drain; empty, or why it does not."""
+        """Tell an instance to restart or to drain. Returns an empty string, or why it refuses."""
 
     async def silent(self, names: list[str]) -> set[str]:
-        """Which of these do not answer, though their links are up."""
+        """Those of the named instances that do not answer although they are connected."""
 
     async def overload_levels(self, names: list[str]) -> list[int]:
-        """Where the overload line stands at these, as far as they answer and have one."""
+        """The levels of the admission threshold at the named instances that answer and have one."""
 
 
 @dataclass(frozen=True, slots=True)
-class Wanted:
-    """An order as operators ask for it. Floors: by zone name, "all" for the fleet, in units of capacity or, with
-    `shares`, in parts of what is there."""
+class DrainRequest:
+    """A drain order as operators request it. Each floor is for a zone name, "each" zone or "all" for the fleet,
+    and in units of capacity or as a share of the present capacity."""
 
     names: tuple[str, ...]
-    what: str = "restart"  # or drain: they stay out until they are resumed
-    floors: tuple[tuple[str, float, bool], ...] = ()  # zone or all, figure, whether it is a share
+    what: str = "restart"  # or "drain": the instances stay out until they are resumed
+    floors: tuple[tuple[str, float, bool], ...] = ()  # (zone, "each" or "all"; figure; whether it is a share)
     after_loss: float = 0.0
     drain_s: float = 5.0
     return_s: float = 10.0
     warm_s: float = 0.0
 
 
-def fleet_state_of(instances: Iterable[Instance], wanted: Wanted) -> Account:
-    """The sidecars that are known, with the floors wanted; UnitsError where they mean nothing."""
+def fleet_state_of(instances: Iterable[Instance], request: DrainRequest) -> Account:
+    """The state of all known sidecars, with the floors of a request. UnitsError if a label or floor is bad."""
     units: dict[str, Unit] = {}
     for instance in instances:
         text = instance.labels.get("capacity", "1")
         try:
             capacity = float(text)
         except ValueError:
-            raise UnitsError(f"{instance.name} has the label capacity = {text!r}, which is no number") from None
+            raise UnitsError(
+                f"{instance.name} has the label capacity = {text!r}, which is not a number"
+            ) from None
         units[instance.name] = Unit(
             instance.name, instance.labels.get("zone", ""), Kind.SIDECAR, capacity, "",
-            wanted.drain_s, wanted.return_s, wanted.warm_s,
+            request.drain_s, request.return_s, request.warm_s,
         )  # fmt: skip
     zones = {unit.zone for unit in units.values()}
-    there = {zone: sum(unit.capacity for unit in units.values() if unit.zone == zone) for zone in zones}
+    capacities = {zone: sum(unit.capacity for unit in units.values() if unit.zone == zone) for zone in zones}
     by_zone: dict[tuple[Kind, str], float] = {}
     fleet: dict[Kind, float] = {}
-    for where, figure, share in wanted.floors:
+    for where, figure, share in request.floors:
         if where == "all":
-            fleet[Kind.SIDECAR] = figure * sum(there.values()) if share else figure
+            fleet[Kind.SIDECAR] = figure * sum(capacities.values()) if share else figure
         elif where == "each":
-            by_zone |= {(Kind.SIDECAR, zone): figure * there[zone] if share else figure for zone in zones}
+            by_zone |= {(Kind.SIDECAR, zone): figure * capacities[zone] if share else figure for zone in zones}
         elif where in zones:
-            by_zone[Kind.SIDECAR, where] = figure * there[where] if share else figure
+            by_zone[Kind.SIDECAR, where] = figure * capacities[where] if share else figure
         else:
             raise UnitsError(f"no zone {where!r}: there are {', '.join(sorted(zones))}")
-    after = {Kind.SIDECAR: wanted.after_loss} if wanted.after_loss else {}
+    after = {Kind.SIDECAR: request.after_loss} if request.after_loss else {}
     return Account(units, Floors(by_zone, fleet, after))
 
 
 class Drains:
-    """One order at a time."""
+    """Carries out drain orders, one at a time."""
 
     def __init__(
         self, store: Store, operations: AgentOperations, write: Callable[..., None], clock: SteadyClock
     ) -> None:
         self._store, self._operations, self._write, self._clock = store, operations, write, clock
-        kept = json.loads(store.get(KEPT) or "{}")
-        self.run = Run.of(kept["run"]) if kept.get("run") else None
-        self.wanted = _wanted(kept["wanted"]) if kept.get("wanted") else Wanted(())
-        self._boots: dict[str, str] = kept.get("boots", {})
-        known = int(kept.get("epoch", 0))
-        self.permits = Permits(known, kept.get("permits", ""))
+        saved = json.loads(store.get(STORE_KEY) or "{}")
+        self.run = Run.of(saved["run"]) if saved.get("run") else None
+        self.request = _request_from_row(saved["wanted"]) if saved.get("wanted") else DrainRequest(())
+        self._boots: dict[str, str] = saved.get("boots", {})
+        known_epoch = int(saved.get("epoch", 0))
+        self.permits = Permits(known_epoch, saved.get("permits", ""))
         self.account = Account({}, Floors())
-        self._listens_until = 0.0
-        self._acts = False  # in an epoch of its own
-        self._line_up = False
-        self._line_at = 0.0
-        self._told: set[int] = set()  # permits whose holders were told in this life of the agent
-        self._dumb: dict[str, float] = {}  # did not answer when they were asked, and when that was
-        self._asked_at = float("-inf")
-        self._asking = False
+        self._listen_until = 0.0
+        self._has_own_epoch = False
+        self._overloaded = False
+        self._overload_polled_at = 0.0
+        self._notified: set[int] = set()  # permits whose holders this agent process notified
+        self._unresponsive: dict[str, float] = {}  # instances that did not answer a probe, and its time
+        self._probed_at = float("-inf")
+        self._probing = False
         self._timer: asyncio.TimerHandle | None = None
         self._tasks: set[asyncio.Task[None]] = set()
-        self._kept: tuple[Any, ...] = ()  # what changes, as it was last written
+        self._saved_state: tuple[Any, ...] = ()  # the result of `_state_to_save` when last saved
 
-    # --- what operators do ----------------------------------------------------------------------
+    # --- operators' requests --------------------------------------------------------------------
 
-    def preview(self, wanted: Wanted) -> dict[str, Any]:
-        """The order's arithmetic, and nothing begun."""
-        account = self._seen(fleet_state_of(self._operations.instances.values(), wanted), self._clock.now())
-        order = plan(account, wanted.names, self._clock.now())
+    def preview(self, request: DrainRequest) -> dict[str, Any]:
+        """Plan an order without starting it: its waves, duration and bound."""
+        account = self._observe(fleet_state_of(self._operations.instances.values(), request), self._clock.now())
+        order = plan(account, request.names, self._clock.now())
         return {
             "waves": [{"units": list(wave.units), "seconds": wave.seconds} for wave in order.waves],
             "seconds": order.seconds, "bound_s": order.bound_s, "text": order.text(),
         }  # fmt: skip
 
-    def start(self, wanted: Wanted, who: str, why: str) -> dict[str, Any]:
-        """Begin an order: durable before it is answered. PermitError while another one is under way."""
+    def start(self, request: DrainRequest, who: str, why: str) -> dict[str, Any]:
+        """Start an order; it is saved before this returns. PermitError while another order is in progress."""
         if self.run is not None and self.run.phase is not Phase.DONE:
             raise PermitError(
                 f"order {self.run.number} by {self.run.who} is {self.run.phase.value}",
                 "Wait until it is done, or end it with `cindersail drain back`.",
             )
-        self.preview(wanted)
+        self.preview(request)
         number = (self.run.number if self.run else 0) + 1
-        before = self.wanted, self.run, self.account
-        self.wanted, self.run = wanted, Run(number, who, why, list(wanted.names))
-        self.account = fleet_state_of(self._operations.instances.values(), wanted)
+        before = self.request, self.run, self.account
+        self.request, self.run = request, Run(number, who, why, list(request.names))
+        self.account = fleet_state_of(self._operations.instances.values(), request)
         try:
             self._save()
         except CannotKeepError:
-            self.wanted, self.run, self.account = before
+            self.request, self.run, self.account = before
             raise
-        names = list(wanted.names)[:1000]
-        self._write(who, "drain start", order=number, how=wanted.what, instances=names, reason=why)
-        self._arm()
+        names = list(request.names)[:1000]
+        self._write(who, "drain start", order=number, how=request.what, instances=names, reason=why)
+        self._schedule_tick()
         return self.as_dict()
 
     def steer(self, who: str, what: str, why: str) -> dict[str, Any]:
-        """halt, resume or back; durable before it is answered."""
+        """Halt, resume or take back the current order; saved before this returns."""
         run = self.run
         if run is None or run.phase is Phase.DONE:
             raise PermitError("no order is under way", "Begin one with `cindersail drain start`.")
@@ -173,23 +181,23 @@
             run.back(f"taken back by {who}" + (f": {why}" if why else ""))
         if what != "resume":
             for permit in self.permits.open:
-                if permit.number not in self._told:
+                if permit.number not in self._notified:
                     self.permits.take_back(self._clock.now(), self.account, permit.unit, f"{what} by {who}")
         self._save()
         self._write(who, f"drain {what}", order=run.number, reason=why)
-        self._arm()
+        self._schedule_tick()
         return self.as_dict()
 
     def write_off(self, who: str, unit: str) -> dict[str, Any]:
-        """An operator's word that a unit does not come back."""
+        """Record an operator's statement that a unit will not come back."""
         permit = self.permits.write_off(unit, who)
         self._save()
         self._write(who, "drain write-off", instance=unit)
-        self._arm()
+        self._schedule_tick()
         return permit.table()
 
     def as_dict(self) -> dict[str, Any]:
-        """The order, its permits, and who is out."""
+        """The order, its permits and the units that are out of service, for the API."""
         account = self._current(self._clock.now())
         out = [
             {"unit": name, "zone": unit.zone, "state": entry.state.value, "since": entry.since,
@@ -201,139 +209,140 @@
             "permits": [permit.table() for permit in self.permits.open], "out": out,
             "capacity": {zone: round(left, 3) for (_, zone), left in account.capacity(self._clock.now()).items()},
             "floors": {zone: floor for (_, zone), floor in account.floors.zones.items()},
-            "now": self._clock.now(), "listens_s": round(max(0.0, self._listens_until - time.monotonic()), 1),
+            "now": self._clock.now(), "listens_s": round(max(0.0, self._listen_until - time.monotonic()), 1),
         }  # fmt: skip
 
-    # --- the order goes on ----------------------------------------------------------------------
+    # --- progress of the order ------------------------------------------------------------------
 
     def open(self) -> None:
-        """Go on from the store; in the running loop."""
-        self._listens_until = time.monotonic() + LISTENS_S
+        """Continue the stored order. Must be called in the running event loop."""
+        self._listen_until = time.monotonic() + LISTEN_S
         if self.run is not None and self.run.phase is not Phase.DONE:
-            self._arm()
+            self._schedule_tick()
 
     def close(self) -> None:
-        """No more."""
+        """Cancel the timer and all tasks."""
         if self._timer is not None:
             self._timer.cancel()
         for task in self._tasks:
             task.cancel()
 
     def observe_epoch(self, epoch: int) -> None:
-        """A sidecar knows of this epoch."""
+        """Take note of the epoch that a sidecar reports."""
         self.permits.hear(epoch)
 
-    def _arm(self) -> None:
+    def _schedule_tick(self) -> None:
         if self._timer is None:
-            self._timer = asyncio.get_running_loop().call_later(LOOK_S, self._tick)
+            self._timer = asyncio.get_running_loop().call_later(TICK_S, self._tick)
 
     def _tick(self) -> None:
         self._timer = None
         run = self.run
         if run is None or (run.phase is Phase.DONE and not self.permits.open):
             return
-        self._arm()
+        self._schedule_tick()
         now = self._clock.now()
         account = self._current(now)
         self.permits.look(account)
         try:
-            if time.monotonic() >= self._listens_until:
-                self._act(now, run, account)
+            if time.monotonic() >= self._listen_until:
+                self._issue_permits(now, run, account)
             self._save_changes()
-        except CannotKeepError as error:  # nothing is told that is not on disk; the next look writes it
+        except CannotKeepError as error:  # no sidecar is notified of unsaved state; the next tick saves it
             log.warning("%s", error.line())
             return
-        self._tell()
-        if time.monotonic() - self._line_at >= LINE_S:
-            self._line_at = time.monotonic()
-            self._spawn(self._look_at_line())
+        self._notify_holders()
+        if time.monotonic() - self._overload_polled_at >= OVERLOAD_POLL_S:
+            self._overload_polled_at = time.monotonic()
+            self._spawn(self._poll_overload())
 
-    def _act(self, now: float, run: Run, account: Account) -> None:
-        if not self._acts:
+    def _issue_permits(self, now: float, run: Run, account: Account) -> None:
+        if not self._has_own_epoch:
             self.permits.epoch = next_epoch((self.permits.epoch, self.permits.heard))
             self.permits.heard = self.permits.epoch
             self._save()
-            self._acts = True
-        units = run.next(now, account, self.permits, self._line_up)
-        if (units or self._dumb) and not self._fresh():
+            self._has_own_epoch = True
+        units = run.next(now, account, self.permits, self._overloaded)
+        if (units or self._unresponsive) and not self._recently_probed():
             return
         for unit in units:
             try:
-                self.permits.give(now, account, unit, run.who, f"order {run.number}: {self.wanted.what}")
+                self.permits.give(now, account, unit, run.who, f"order {run.number}: {self.request.what}")
             except PermitError as error:
                 run.reason = error.what
                 break
             run.gone(unit)
             self._boots[unit] = self._operations.instances[unit].boot
 
-    def _fresh(self) -> bool:
-        """Whether all were asked just now; else they are, and what needs it waits. A process that stands still
-        keeps its link, so a link that is up does not show that there is anybody."""
-        if time.monotonic() - self._asked_at <= FRESH_S:
+    def _recently_probed(self) -> bool:
+        """Whether all instances were probed recently; if not, start probing, and the caller has to wait. A hung
+        process keeps its connection, so a connected link does not show that the instance is responsive."""
+        if time.monotonic() - self._probed_at <= PROBE_VALID_S:
             return True
-        if not self._asking:
-            self._asking = True
-            self._spawn(self._ask_all())
+        if not self._probing:
+            self._probing = True
+            self._spawn(self._probe_all())
         return False
 
-    async def _ask_all(self) -> None:
+    async def _probe_all(self) -> None:
         began = time.monotonic()
         try:
             silent = await self._operations.silent(
                 [n for n, i in self._operations.instances.items() if i.connected]
             )
-            self._dumb = dict.fromkeys(silent, began)
-            self._asked_at = time.monotonic()
+            self._unresponsive = dict.fromkeys(silent, began)
+            self._probed_at = time.monotonic()
         finally:
-            self._asking = False
+            self._probing = False
 
-    def _is_dumb(self, instance: Instance) -> bool:
-        asked = self._dumb.get(instance.name)
-        if asked is None:
+    def _is_unresponsive(self, instance: Instance) -> bool:
+        probed_at = self._unresponsive.get(instance.name)
+        if probed_at is None:
             return False
-        if instance.history and instance.history[-1][0] > asked:  # heard since
-            del self._dumb[instance.name]
+        if instance.history and instance.history[-1][0] > probed_at:  # a heartbeat came since
+            del self._unresponsive[instance.name]
             return False
         return True
 
-    def _tell(self) -> None:
-        """What is written down, and not told: to whom it has not been told in this life of the agent."""
-        if not self._acts:
+    def _notify_holders(self) -> None:
+        """Notify the holders of saved permits that this agent process has not notified yet."""
+        if not self._has_own_epoch:
             return
         for permit in self.permits.open:
             unit = permit.unit
-            if permit.number in self._told or (permit.stage is not Stage.GIVEN and not self._restarts):
+            if permit.number in self._notified or (permit.stage is not Stage.GIVEN and not self._is_restart):
                 continue
             instance = self._operations.instances.get(unit)
             if instance is None or not instance.connected:
                 continue
             if instance.boot != self._boots.get(unit):
                 if permit.stage is Stage.GIVEN:
-                    self.permits.told(unit)  # by an agent that died before it could note it: it has been out
+                    # An earlier agent notified it and crashed before saving that: it has been out.
+                    self.permits.told(unit)
                 continue
-            self._told.add(permit.number)
+            self._notified.add(permit.number)
             self._spawn(self._step(permit.number, unit))
 
     async def _step(self, number: int, unit: str) -> None:
         try:
-            denied = await self._operations.step(unit, self.wanted.what, self.permits.epoch)
+            denied = await self._operations.step(unit, self.request.what, self.permits.epoch)
         except CannotKeepError as error:
             denied = error.line()
         if denied and self.run is not None:
-            self._told.discard(number)
+            self._notified.discard(number)
             self.permits.take_back(self._clock.now(), self.account, unit, denied)
             self.run.fail(unit, denied)
             self._write("agent", "drain refused", instance=unit, reason=denied)
         else:
             self.permits.told(unit)
-        with contextlib.suppress(CannotKeepError):  # the next look writes it
+        with contextlib.suppress(CannotKeepError):  # the next tick saves it
             self._save_changes()
 
-    async def _look_at_line(self) -> None:
+    async def _poll_overload(self) -> None:
         names = [name for name, instance in self._operations.instances.items() if instance.connected]
-        step = max(1, len(names) // LINE_ASKED)
-        rungs = sorted(await self._operations.overload_levels(names[::step][:LINE_ASKED]))
-        self._line_up = bool(rungs) and rungs[len(rungs) // 2] > 0
+        stride = max(1, len(names) // OVERLOAD_SAMPLE)
+        levels = sorted(await self._operations.overload_levels(names[::stride][:OVERLOAD_SAMPLE]))
+        self._overloaded = bool(levels) and levels[len(levels) // 2] > 0
 
     def _spawn(self, work: Awaitable[None]) -> None:
         task = asyncio.ensure_future(work)
@@ -343,12 +352,13 @@
     def _current(self, now: float) -> Account:
         if set(self.account.units) != set(self._operations.instances):
             entries = self.account.entries
-            self.account = fleet_state_of(self._operations.instances.values(), self.wanted)
+            self.account = fleet_state_of(self._operations.instances.values(), self.request)
             self.account.entries = entries
-        return self._seen(self.account, now)
+        return self._observe(self.account, now)
 
-    def _seen(self, account: Account, now: float) -> Account:
-        """What links tell of each: connected and serving, and by which process."""
+    def _observe(self, account: Account, now: float) -> Account:
+        """Update the state of each unit from its link: whether it is connected and serving, and in which
+        process."""
         for permit in self.permits.open:
             if permit.unit in account.units and account.entry(permit.unit).state is State.UNKNOWN:
                 account.going(now, permit.unit, f"{permit.why}, by {permit.who}")
@@ -358,16 +368,16 @@
             if not instance.connected:
                 account.lost(now, name, instance.left or "no link")
                 continue
-            if self._is_dumb(instance):
+            if self._is_unresponsive(instance):
                 account.lost(now, name, "does not answer")
                 continue
             permit = self.permits.of(name)
             going = account.entry(name).state is State.GOING
             if permit is not None and instance.boot != self._boots.get(name, instance.boot):
                 if going:
-                    account.seen(now, name, False)  # it has been out between two looks
-            elif permit is not None and (self._restarts or (going and instance.state == "serving")):
-                # Still on its way out: in the process of then it has not been out, whoever lost sight of it.
+                    account.seen(now, name, False)  # it was out between two ticks
+            elif permit is not None and (self._is_restart or (going and instance.state == "serving")):
+                # Still draining: the same process runs, so it has not been out, even if contact was lost.
                 if not going:
                     account.going(now, name, f"{permit.why}, by {permit.who}")
                 continue
@@ -375,32 +385,32 @@
         return account
 
     @property
-    def _restarts(self) -> bool:
-        return self.wanted.what == "restart"
+    def _is_restart(self) -> bool:
+        return self.request.what == "restart"
 
     def _save(self) -> None:
         boots = {permit.unit: self._boots.get(permit.unit, "") for permit in self.permits.open}
-        kept = {
+        state = {
             "run": self.run.text() if self.run is not None else "", "permits": self.permits.text(),
-            "epoch": self.permits.epoch, "boots": boots, "wanted": _text(self.wanted),
+            "epoch": self.permits.epoch, "boots": boots, "wanted": _request_row(self.request),
         }  # fmt: skip
         with self._store.transaction():
-            self._store.set(KEPT, json.dumps(kept))
-        self._kept = self._changing()
+            self._store.set(STORE_KEY, json.dumps(state))
+        self._saved_state = self._state_to_save()
 
     def _save_changes(self) -> None:
-        if self._changing() != self._kept:
+        if self._state_to_save() != self._saved_state:
             self._save()
 
-    def _changing(self) -> tuple[Any, ...]:
-        """What changes as an order goes on."""
+    def _state_to_save(self) -> tuple[Any, ...]:
+        """The part of the state that changes while an order is carried out."""
         return (self.run.text() if self.run is not None else "", self.permits.text(), self.permits.epoch)
 
 
-def _text(wanted: Wanted) -> dict[str, Any]:
-    return {name: getattr(wanted, name) for name in Wanted.__slots__}
+def _request_row(request: DrainRequest) -> dict[str, Any]:
+    return {name: getattr(request, name) for name in DrainRequest.__slots__}
 
 
-def _wanted(row: Mapping[str, Any]) -> Wanted:
+def _request_from_row(row: Mapping[str, Any]) -> DrainRequest:
     floors = tuple((str(where), float(figure), bool(share)) for where, figure, share in row["floors"])
-    return Wanted(**{**row, "names": tuple(row["names"]), "floors": floors})
+    return DrainRequest(**{**row, "names": tuple(row["names"]), "floors": floors})
--- a/covetally/rig/crashing.py
+++ b/covetally/rig/crashing.py
@@ -20,7 +20,7 @@
 
 def _counts(store: Store) -> bool:
     if _kind == "drains":
-        return '"run": ""' not in (store.get(drains.KEPT) or '"run": ""')
+        return '"run": ""' not in (store.get(drains.STORE_KEY) or '"run": ""')
     rows = store._db.execute("SELECT count(*) FROM rollouts WHERE number > ?", (int(_base),))
     return bool(rows.fetchone()[0])
 
@@ -47,5 +47,5 @@
 
 if __name__ == "__main__":
     Store.transaction = _transaction  # type: ignore[method-assign]
-    drains.LISTENS_S = float(os.environ.get("CRASH_LISTENS_S", drains.LISTENS_S))
+    drains.LISTEN_S = float(os.environ.get("CRASH_LISTENS_S", drains.LISTEN_S))
     main(prog_name="cindersail")
--- a/tests/drainplan/blind.py
+++ b/tests/drainplan/blind.py
@@ -5,7 +5,7 @@
 from covetally.cli.main import main
 from covetally.fleet.drains import Drains
 
-Drains._is_dumb = lambda self, instance: False  # type: ignore[method-assign]
+Drains._is_unresponsive = lambda self, instance: False  # type: ignore[method-assign]
 
 if __name__ == "__main__":
     main()
--- a/tests/fleet/test_agent_disk.py
+++ b/tests/fleet/test_agent_disk.py
@@ -9,7 +9,7 @@
 import pytest
 
 from covetally.fleet.agent import Agent
-from covetally.fleet.drains import Wanted
+from covetally.fleet.drains import DrainRequest
 from covetally.fleet.orders import Command
 from covetally.fleet.rollout import Phase
 from covetally.fleet.store import CannotKeepError
@@ -116,7 +116,7 @@
         for ask in (
             lambda: agent.freeze("ann", 60.0, "", "more", ""), lambda: agent.thaw("ann", 1),
             lambda: agent.restart("ann", "", "", AT_ONCE, False),
-            lambda: agent.start_drain("ann", Wanted(("i0",)), "", ""),
+            lambda: agent.start_drain("ann", DrainRequest(("i0",)), "", ""),
         ):  # fmt: skip
             with pytest.raises(CannotKeepError):
                 ask()
