--- a/tests/crossings/test_ending.py
+++ b/tests/crossings/test_ending.py
@@ -26,7 +26,7 @@
     request,
     wait_until,
 )
-from tests.test_standing import get
+from tests.test_standing import get_request
 
 
 BODY = b"y" * 60_000
@@ -83,7 +83,7 @@
             busy = [await harness.connect() for _ in range(2)]
             for number, (_, writer) in enumerate(busy):
                 writer.write(request(f"busy{number}", expires="5"))
-            await wait_until(lambda: harness.sidecar.open == 2)
+            await wait_until(lambda: harness.sidecar.open_requests == 2)
             waiting = asyncio.create_task(harness.status(request("waits", expires="5")))
             await asyncio.sleep(0.05)
             assert harness.frontend.connections == 2
@@ -147,7 +147,7 @@
             time.sleep(0.2)  # the event loop is late: the timer is due
             os.write(sock.fileno(), request("two"))
             (connection,) = harness.frontend._clients
-            connection._timer.call()  # and fires first
+            connection._timer.callback()  # and fires first
             assert (await read_message(reader)).endswith(b"for two")
             writer.close()
 
@@ -225,12 +225,14 @@
         async with asyncio.timeout(TEST_TIMEOUT_S), World(Shape(nodes=2, instances=1, work_scale=8.0)) as world:
             await world.start_instances()
             instance = world.instances["a0"]
-            requests = [asyncio.create_task(status_of(instance.address, get(f"r{i}"))) for i in range(6)]
+            requests = [asyncio.create_task(status_of(instance.address, get_request(f"r{i}"))) for i in range(6)]
             await wait_until(lambda: sum(node.seen["arrived"] for node in world.nodes.values()) >= 2)
             for number in (signal.SIGHUP, signal.SIGTERM, signal.SIGTERM, signal.SIGHUP, signal.SIGTERM):
                 instance.process.send_signal(number)
                 await asyncio.sleep(0.02)
-            late = await status_of(instance.address, get("late"))  # while new connections are still accepted
+            late = await status_of(
+                instance.address, get_request("late")
+            )  # while new connections are still accepted
             assert late in (200, 503)
             assert set(await asyncio.gather(*requests)) <= {200, 503}
             assert await instance.process.wait() == 0
@@ -247,7 +249,7 @@
             for node in world.nodes.values():
                 os.kill(node.child.pid, signal.SIGSTOP)
             sent_at = time.monotonic()
-            requests = [asyncio.create_task(status_of(instance.address, get(f"r{i}"))) for i in range(6)]
+            requests = [asyncio.create_task(status_of(instance.address, get_request(f"r{i}"))) for i in range(6)]
             await asyncio.sleep(0.1)
             instance.process.send_signal(signal.SIGTERM)
             statuses = await asyncio.gather(*requests)
@@ -276,12 +278,12 @@
                 sock.connect_ex(instance.address)
                 idle.append(sock)
             await asyncio.sleep(3.5)  # the watch has timed out, and new calls have failed
-            assert [await status_of(instance.address, get(f"r{i}")) for i in range(20)] == [200] * 20
+            assert [await status_of(instance.address, get_request(f"r{i}")) for i in range(20)] == [200] * 20
             world.lifecycle("n1", "leaving")
             world.discovery.command(silent=False)
             await asyncio.sleep(0.5)
             before = world.nodes["n1"].seen["arrived"]
-            assert [await status_of(instance.address, get(f"s{i}")) for i in range(40)] == [200] * 40
+            assert [await status_of(instance.address, get_request(f"s{i}")) for i in range(40)] == [200] * 40
             assert world.nodes["n1"].seen["arrived"] == before
             for sock in idle:
                 sock.close()
