--- a/benchmarks/roster.py
+++ b/benchmarks/roster.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from benchmarks.report import cpu_s, progress, show
-from covetally.membership.belief import Believer
+from covetally.membership.membership_view import Believer
 from covetally.membership.eureka.client import Config, Eureka
 from covetally.membership.model import Rule
 from covetally.net.clock import Clock
--- a/covetally/membership/checks.py
+++ b/covetally/membership/active_checks.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from covetally.interface import Settings
-from covetally.membership.hung import schedule
+from covetally.membership.unresponsive import schedule
 from covetally.membership.http import status_of
 from covetally.membership.model import Address
 from covetally.membership.settings import Plan
--- a/covetally/membership/eureka/client.py
+++ b/covetally/membership/eureka/client.py
@@ -11,10 +11,10 @@
 from typing import Any
 from urllib.parse import quote
 
-from covetally.membership.eureka import entry
-from covetally.membership.eureka.reading import Damaged, JsonReader, XmlReader
-from covetally.membership.eureka.registries import Registries
-from covetally.membership.eureka.view import View
+from covetally.membership.eureka import instance_parser
+from covetally.membership.eureka.answer_parser import Damaged, JsonReader, XmlReader
+from covetally.membership.eureka.address_selector import Registries
+from covetally.membership.eureka.registry_view import View
 from covetally.membership.http import FAILURES, Answer, Http, Refused
 from covetally.membership.model import Read
 from covetally.net.clock import Clock
@@ -40,7 +40,7 @@
     form: str = "json"
     most: int = 32 * 1024 * 1024
     authorization: bytes = b""
-    keys: entry.Keys = field(default_factory=entry.Keys)
+    keys: instance_parser.Keys = field(default_factory=instance_parser.Keys)
 
 
 class Eureka:
@@ -150,7 +150,7 @@
 
     async def _delta(self, address: str, view: View) -> bool:
         """Bring the view up to date; False if that cannot be done."""
-        instances: list[entry.Instance] = []
+        instances: list[instance_parser.Instance] = []
         answer = await self._call(self._http, address, "/apps/delta")
         if answer.status != 200:  # a server may have deltas switched off
             await answer.drop()
@@ -187,15 +187,15 @@
         return await http.call("GET", self._urls[address], path, headers=(("accept", accept),))
 
     async def _read(
-        self, answer: Answer, add: Callable[[entry.Instance], None], nameless: list[str]
+        self, answer: Answer, add: Callable[[instance_parser.Instance], None], nameless: list[str]
     ) -> str | None:
         """Read an answer slice by slice; the hash that it told."""
         keys, wanted = self._config.keys, self._app
 
         def take(app: str, raw: Any) -> None:
             try:
-                add(entry.read(raw, keys, app, wanted))
-            except entry.BadEntry as error:
+                add(instance_parser.read(raw, keys, app, wanted))
+            except instance_parser.BadEntry as error:
                 if len(nameless) < NAMELESS:
                     nameless.append(str(error))
 
--- a/covetally/membership/eureka/view.py
+++ b/covetally/membership/eureka/registry_view.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterable
 from dataclasses import replace
 
-from covetally.membership.eureka.entry import Instance
+from covetally.membership.eureka.instance_parser import Instance
 from covetally.membership.model import Member, Read
 
 _Seen = dict[tuple[str, str], tuple[str, int]]  # (application, id): status, lastUpdatedTimestamp
--- a/covetally/membership/register.py
+++ b/covetally/membership/registration.py
@@ -12,7 +12,7 @@
 from urllib.parse import quote
 
 from covetally.membership.eureka.lease import Act, Health, Lease
-from covetally.membership.eureka.registries import Registries
+from covetally.membership.eureka.address_selector import Registries
 from covetally.membership.http import FAILURES, Http, status_of
 from covetally.membership.settings import authorization
 from covetally.net.config import Address, Config
--- a/covetally/membership/roster.py
+++ b/covetally/membership/service.py
@@ -14,12 +14,12 @@
 from typing import Any, Protocol
 
 from covetally.interface import ServerStatus, ServerEntry, AttemptStatus, Settings
-from covetally.membership import keep
-from covetally.membership.belief import ORDERS, Believer, differences
-from covetally.membership.checks import Checks
+from covetally.membership import persistence
+from covetally.membership.membership_view import ORDERS, Believer, differences
+from covetally.membership.active_checks import Checks
 from covetally.membership.eureka.client import Eureka
 from covetally.membership.file import File
-from covetally.membership.hung import Hung
+from covetally.membership.unresponsive import Hung
 from covetally.membership.model import LEAVING, UP, Address, Member, Read, Told
 from covetally.membership.platform import Platform
 from covetally.membership.settings import Plan
@@ -98,7 +98,7 @@
         """At the start of the process: the kept file, or else, where the platform is the source, what it knew."""
         if self._plan.keep is not None:
             try:
-                members, revision = keep.read(self._plan.keep)
+                members, revision = persistence.read(self._plan.keep)
             except ValueError as error:
                 log.error("roster.keep: %s: %s: starting without it", self._plan.keep, error)
                 members, revision = [], ""
@@ -281,7 +281,7 @@
         try:
             if path is not None and believer.nodes:
                 members = [node.member for node in believer.nodes.values()]
-                data = keep.encode(members, believer.revision)
+                data = persistence.encode(members, believer.revision)
                 await asyncio.to_thread(files.replace, path, data)
         except OSError as error:
             if not self._cannot_keep:
--- a/covetally/membership/settings.py
+++ b/covetally/membership/settings.py
@@ -9,7 +9,7 @@
 
 from covetally.membership import file
 from covetally.membership.eureka.client import Config
-from covetally.membership.eureka.entry import Keys
+from covetally.membership.eureka.instance_parser import Keys
 from covetally.membership.http import credentials
 from covetally.membership.model import Rule
 from covetally.operator.check import OperatorError, Problem
--- a/covetally/process.py
+++ b/covetally/process.py
@@ -37,8 +37,8 @@
     from covetally.control.gauges import Gauges
     from covetally.control.instance import Instance
     from covetally.control.manager import Manager
-    from covetally.membership.register import Registrar
-    from covetally.membership.roster import Roster
+    from covetally.membership.registration import Registrar
+    from covetally.membership.service import Roster
     from covetally.membership.settings import Plan
     from covetally.operator.schema import Values
     from covetally.spoken import Spoken
@@ -202,7 +202,7 @@
         if self.roster is None:
             self.discovery.start()
         if "register.app" in self.values:
-            from covetally.membership.register import Registrar
+            from covetally.membership.registration import Registrar
 
             self.registrar = Registrar(self.values, config, self.address)
             self.registrar.start()
@@ -288,7 +288,7 @@
     # --- where the list of nodes comes from -----------------------------------------------------
 
     def _made(self, plan: Plan) -> Roster:
-        from covetally.membership.roster import Parts, Roster
+        from covetally.membership.service import Parts, Roster
 
         parts = Parts(
             self.clock, self.discovery,
--- a/tests/control/test_keep_disk.py
+++ b/tests/control/test_keep_disk.py
@@ -17,7 +17,7 @@
 from covetally.control.orders import Orders
 from covetally.control.protocol import digest
 from covetally.control.taking import Held, Memory
-from covetally.membership import keep as membership_keep
+from covetally.membership import persistence
 from covetally.operator import files
 from covetally.rig.account import SECOND
 from covetally.rig.managed import Managed
@@ -166,7 +166,7 @@
             await asyncio.sleep(max(0.0, (end_ns - time.monotonic_ns()) / SECOND) - 0.5)
             assert not kept.exists() and "roster.keep" in instance.log
             await until(kept.exists)
-            members, _ = membership_keep.read(kept)
+            members, _ = persistence.read(kept)
             assert sorted(member.id for member in members) == ["n0", "n1"]
             assert instance.log.count("make room on the disk") == 1
 
--- a/tests/membership/test_client.py
+++ b/tests/membership/test_client.py
@@ -6,10 +6,10 @@
 
 import pytest
 
-from covetally.membership.belief import Believer
+from covetally.membership.membership_view import Believer
 from covetally.membership.model import LEAVING, UP, Rule
 from covetally.rig.eureka import instance
-from tests.membership.standin import followed, node, run
+from tests.membership.registry_harness import followed, node, run
 
 
 @pytest.mark.parametrize("by", ["app", "vip", "all"])
--- a/tests/membership/test_parts.py
+++ b/tests/membership/test_components.py
@@ -10,16 +10,16 @@
 from hypothesis import strategies as st
 
 from covetally.interface import ServerEntry, ServerUnresponsive
-from covetally.membership import keep
+from covetally.membership import persistence
 from covetally.membership.file import File, FileError, read_nodes
 from covetally.membership.http import credentials
-from covetally.membership.hung import FAILED_CHECKS, SILENT, SPAN_NS, Hung, schedule
+from covetally.membership.unresponsive import FAILED_CHECKS, SILENT, SPAN_NS, Hung, schedule
 from covetally.membership.model import LEAVING, Member
 from covetally.membership.platform import Platform
 from covetally.net.server_list import ListUpdate
 from covetally.operator import files
 from covetally.operator.url import split_url
-from tests.membership.standin import run
+from tests.membership.registry_harness import run
 from tests.support import MS, BalancerHarness, settings
 
 MEMBERS = [Member("n1", ("10.0.0.1", 80), LEAVING, "drain", "a", "k", 3, 0.5, 1, 2, 3, 4)]
@@ -69,23 +69,23 @@
 
 def test_the_kept_file_holds_all_and_refuses_what_is_damaged(tmp_path):
     path = tmp_path / "roster"
-    assert keep.read(path) == ([], "")
-    data = keep.encode(MEMBERS, "r7")
+    assert persistence.read(path) == ([], "")
+    data = persistence.encode(MEMBERS, "r7")
     files.replace(path, data)
-    assert keep.read(path) == (MEMBERS, "r7")
+    assert persistence.read(path) == (MEMBERS, "r7")
     for at in range(len(data)):  # a write cut off anywhere, where a rename was not whole
         path.write_bytes(data[:at])
         if at:
             with pytest.raises(ValueError):
-                keep.read(path)
+                persistence.read(path)
     flipped = bytearray(data)
     flipped[-5] ^= 1
     with pytest.raises(ValueError, match="checksum"):
-        keep.decode(bytes(flipped))
+        persistence.decode(bytes(flipped))
     with pytest.raises(ValueError, match="format 9"):
-        keep.decode(data.replace(b'"format": 1', b'"format": 9'))
+        persistence.decode(data.replace(b'"format": 1', b'"format": 9'))
     with pytest.raises(ValueError):
-        keep.read(tmp_path)
+        persistence.read(tmp_path)
     assert [p.name for p in tmp_path.iterdir()] == ["roster"]
 
 
--- a/tests/membership/test_eureka.py
+++ b/tests/membership/test_eureka.py
@@ -9,21 +9,21 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from covetally.membership.eureka import entry
-from covetally.membership.eureka.entry import BadEntry, Keys
+from covetally.membership.eureka import instance_parser
+from covetally.membership.eureka.instance_parser import BadEntry, Keys
 from covetally.membership.eureka.lease import Act, Health, Lease
-from covetally.membership.eureka.reading import MAX_ENTRY, Damaged, JsonReader, XmlReader
-from covetally.membership.eureka.registries import FIRST_NS, LONGEST_NS, Registries
-from covetally.membership.eureka.view import View
+from covetally.membership.eureka.answer_parser import MAX_ENTRY, Damaged, JsonReader, XmlReader
+from covetally.membership.eureka.address_selector import FIRST_NS, LONGEST_NS, Registries
+from covetally.membership.eureka.registry_view import View
 from covetally.membership.model import DOWN, LEAVING, STARTING, UP
 from covetally.rig import eureka as standin
-from tests.membership.standin import node
+from tests.membership.registry_harness import node
 
 KEYS = Keys()
 
 
 def read(**changes):
-    return entry.read(node(1) | changes, KEYS)
+    return instance_parser.read(node(1) | changes, KEYS)
 
 
 def member(**changes):
@@ -50,7 +50,7 @@
     found = member(metadata=metadata)
     assert (found.zone, found.kind, found.cell, found.weight, found.boot) == ("a", "m", 7, 0.5, 12)
     assert (found.state, found.word) == (LEAVING, "drain")
-    other = entry.read(node(1, metadata={"rack": "r", "zone": "a"}), Keys(zone="rack")).member
+    other = instance_parser.read(node(1, metadata={"rack": "r", "zone": "a"}), Keys(zone="rack")).member
     assert other is not None and other.zone == "r"
     center = {"name": "Amazon", "metadata": {"availability-zone": "eu-1a"}}
     assert member(dataCenterInfo=center).zone == "eu-1a"
@@ -96,7 +96,7 @@
 
 
 def test_other_applications_are_read_for_the_hash_only():
-    found = entry.read(node(1, port=None), KEYS, "", "OTHER")
+    found = instance_parser.read(node(1, port=None), KEYS, "", "OTHER")
     assert found.member is None and found.why == "" and found.status == "UP"
 
 
@@ -150,7 +150,7 @@
         found, hash_ = parsed(text, size, XmlReader)
         assert hash_ == "UP_6_" and [app for app, _ in found] == ["LEDGER"] * 5 + ["ÜBRIGE"]
         for (_, raw), record in zip(found, RECORDS, strict=True):
-            there, here = entry.read(raw, KEYS), entry.read(record, KEYS)
+            there, here = instance_parser.read(raw, KEYS), instance_parser.read(record, KEYS)
             assert there == here and there.member == here.member
     assert parsed(standin._xml([node(1)], "", "app"), 50, XmlReader)[0][0][0] == "LEDGER"
 
@@ -215,7 +215,7 @@
 
         def take(app, raw, found=found):
             try:
-                found.append(entry.read(raw, KEYS, app))
+                found.append(instance_parser.read(raw, KEYS, app))
             except BadEntry:
                 counts["entries"] += 0
 
@@ -251,7 +251,7 @@
 
 def _readable(raw) -> bool:
     try:
-        entry.read(raw if isinstance(raw, dict) else {}, KEYS)
+        instance_parser.read(raw if isinstance(raw, dict) else {}, KEYS)
     except BadEntry:
         return False
     return True
@@ -267,7 +267,7 @@
 
 def one(i: int, updated: int, action: str = "", **more):
     record = node(i, lastUpdatedTimestamp=str(updated), actionType=action, lastDirtyTimestamp="5")
-    return entry.read(record | more, KEYS)
+    return instance_parser.read(record | more, KEYS)
 
 
 def view(*instances):
--- a/tests/membership/test_belief.py
+++ b/tests/membership/test_membership_view.py
@@ -8,7 +8,7 @@
 from hypothesis import settings
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from covetally.membership.belief import AUTO, BELIEVE, HOLD, MISSES, Believer, differences
+from covetally.membership.membership_view import AUTO, BELIEVE, HOLD, MISSES, Believer, differences
 from covetally.membership.model import DOWN, LEAVING, STARTING, UP, Member, Read, Rule, from_table, to_table
 
 S = 1_000_000_000
--- a/tests/membership/test_processes.py
+++ b/tests/membership/test_processes.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from covetally.membership import keep
+from covetally.membership import persistence
 from covetally.rig.registered import Registered
 from covetally.rig.world import Shape
 
@@ -235,7 +235,7 @@
             await here.start_instance("a0")
             while not path.exists():
                 await asyncio.sleep(0.02)
-            assert sorted(m.id for m in keep.read(path)[0]) == ["n0", "n1", "n2", "n3"]
+            assert sorted(m.id for m in persistence.read(path)[0]) == ["n0", "n1", "n2", "n3"]
             here.kill_instance("a0")
             await inst.process.wait()
             here.fault(status=503)
--- a/tests/membership/test_registering.py
+++ b/tests/membership/test_registration.py
@@ -16,7 +16,7 @@
 from covetally.rig.eureka import Registry, Spec
 from covetally.rig.registered import Registered
 from covetally.rig.world import Shape
-from tests.membership.standin import followed, run
+from tests.membership.registry_harness import followed, run
 from tests.membership.test_processes import run as run_long
 
 REGISTER = """
@@ -109,7 +109,7 @@
 
 def test_leases_run_out_and_self_preservation_keeps_them():
     async def main():
-        from tests.membership.standin import node
+        from tests.membership.registry_harness import node
 
         registry = Registry(Spec(["a0"], evict_s=0.05), lambda row: None)
         ports = await registry.start()
