--- a/benchmarks/roster.py
+++ b/benchmarks/roster.py
@@ -13,9 +13,9 @@
 from typing import Any
 
 from benchmarks.report import cpu_s, progress, show
-from covetally.membership.membership_view import Believer
-from covetally.membership.eureka.client import Config, Eureka
-from covetally.membership.model import Rule
+from covetally.membership.membership_view import MembershipView
+from covetally.membership.eureka.client import EurekaConfig, EurekaSource
+from covetally.membership.model import ViewConfig
 from covetally.net.clock import Clock
 from covetally.operator.url import split_url
 from covetally.rig.child import Child
@@ -52,12 +52,14 @@
         await playing
         verdict = world.judge()
         account = world.account
-        for (sidecar, node), told in account.told.items():
+        for (sidecar, node), updates in account.told.items():
             began = sorted(
                 a.began_ns for found in account.arrivals.values() for a in found
                 if a.node == node and a.id in account.asks and account.asks[a.id].instance == sidecar
             )  # fmt: skip
-            for (at, lifecycle, _), (until, *_) in zip(told, [*told[1:], (at_end(told), "", 0)], strict=True):
+            for (at, lifecycle, _), (until, *_) in zip(
+                updates, [*updates[1:], (at_end(updates), "", 0)], strict=True
+            ):
                 if lifecycle == "leaving":
                     after = [x for x in began if at <= x < until]
                     late.append((after[-1] - at) / MS if after else 0.0)
@@ -68,9 +70,9 @@
     }
 
 
-def at_end(told: list[Any]) -> int:
+def at_end(updates: list[Any]) -> int:
     """Past all that was told."""
-    return told[-1][0] + 10**15
+    return updates[-1][0] + 10**15
 
 
 class _Registry:
@@ -121,10 +123,10 @@
     reads = [0]
 
     def on_read(read: Any) -> None:
-        reads[0] += read.clean
+        reads[0] += read.complete
 
-    config = Config((url,), "LEDGER", by=by, poll_s=poll_s, timeout_s=20.0)
-    followers = [Eureka(config, Clock(), on_read) for _ in range(clients)]
+    config = EurekaConfig((url,), "LEDGER", scope=by, poll_s=poll_s, timeout_s=20.0)
+    followers = [EurekaSource(config, Clock(), on_read) for _ in range(clients)]
     for number, follower in enumerate(followers):
         follower.start()
         if number % 20 == 19:
@@ -164,13 +166,13 @@
     registry = _Registry()
     url = split_url(await registry.start(wanted, total - wanted))
     done, stalls = asyncio.Event(), [0.0]
-    believer, parts = Believer(Rule(), 1), [0.0]
+    view, parts = MembershipView(ViewConfig(), 1), [0.0]
 
     def on_read(read: Any) -> None:
         began = time.perf_counter()
-        told = believer.read(2, read)
+        updates = view.apply_snapshot(2, read)
         parts[0] = time.perf_counter() - began
-        assert len(told) == wanted and read.clean, (len(told), read.clean)
+        assert len(updates) == wanted and read.complete, (len(updates), read.complete)
         done.set()
 
     async def ticker() -> None:
@@ -180,8 +182,8 @@
             stalls[0] = max(stalls[0], time.perf_counter() - began)
 
     before = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
-    config = Config((url,), "LEDGER", by="all", poll_s=3600, timeout_s=60.0, form=form)
-    follower = Eureka(config, Clock(), on_read)
+    config = EurekaConfig((url,), "LEDGER", scope="all", poll_s=3600, timeout_s=60.0, format=form)
+    follower = EurekaSource(config, Clock(), on_read)
     ticking = asyncio.create_task(ticker())
     await asyncio.sleep(0.1)
     stalls[0] = 0.0
--- a/covetally/configuration.py
+++ b/covetally/configuration.py
@@ -17,7 +17,7 @@
 
 if TYPE_CHECKING:
     from covetally.caps.settings import Plan as Caps
-    from covetally.membership.settings import Plan
+    from covetally.membership.settings import MembershipConfig
     from covetally.operator.schema import Values
     from covetally.overload.settings import Plan as Overload
     from covetally.tier.settings import Plan as Tier
@@ -88,7 +88,7 @@
         return self.own | self.managed
 
     @property
-    def plan(self) -> Plan | None:
+    def plan(self) -> MembershipConfig | None:
         """What the operators want of membership; None where the platform's list is believed at once."""
         return _plan(self.values)
 
@@ -204,14 +204,14 @@
         logging.getLogger().setLevel(self.config.log_level.upper())
 
 
-def _plan(values: Values) -> Plan | None:
+def _plan(values: Values) -> MembershipConfig | None:
     """As `Configuration.plan`; OperatorError if it cannot be had."""
     if values.get("roster.source", "off") == "off" and "register.app" not in values:
         return None
     from covetally.membership import settings
 
-    settings.authorization(values)  # a registration alone needs them too
-    return settings.plan(values) if settings.wanted(values) else None
+    settings.read_authorization(values)  # a registration alone needs them too
+    return settings.membership_config(values) if settings.is_enabled(values) else None
 
 
 def _tier(config: Config, values: Values) -> Tier | None:
--- a/covetally/control/gauges.py
+++ b/covetally/control/gauges.py
@@ -104,7 +104,7 @@
             "open": process.sidecar.open,
             "lag_ms": round(process.monitor.take_worst_s() * 1000, 1),
             "state": process.state,
-        } | ({"roster": process.roster.brief()} if process.roster is not None else {})
+        } | ({"roster": process.roster.heartbeat_summary()} if process.roster is not None else {})
 
     async def logs(self) -> list[dict[str, Any]]:
         """The last log lines, oldest first."""
--- a/covetally/membership/__init__.py
+++ b/covetally/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Where the list of nodes comes from, and the one module that decides what of it is believed."""
+"""The sources of the list of nodes, and the view that decides which of their changes to apply."""
--- a/covetally/membership/active_checks.py
+++ b/covetally/membership/active_checks.py
@@ -1,4 +1,4 @@
-"""Active checks: each node is asked for a path now and then, at a cost bounded over all sidecars together."""
+"""Active checks: requests a path from each node at intervals, at a bounded rate over all sidecars together."""
 
 from __future__ import annotations
 
@@ -7,64 +7,66 @@
 from typing import Any
 
 from covetally.interface import Settings
-from covetally.membership.unresponsive import schedule
-from covetally.membership.http import status_of
+from covetally.membership.http import fetch_status
 from covetally.membership.model import Address
-from covetally.membership.settings import Plan
+from covetally.membership.settings import MembershipConfig
+from covetally.membership.unresponsive import check_schedule
 
-WAIT_S = 1.0
-EMPTY_S = 1.0
+CHECK_TIMEOUT_S = 1.0
+NO_NODES_PAUSE_S = 1.0
 
 
-class Checks:
-    """Asks one node at a time.
+class ActiveChecks:
+    """Checks one node at a time.
 
-    Any answer shows that the process lives; what it says is the business of its own requests.
+    Any answer shows that the process is alive. Its status is ignored: the balancer judges nodes by requests.
     """
 
     def __init__(
         self,
-        plan: Plan,
+        config: MembershipConfig,
         settings: Settings,
         nodes: Callable[[], dict[str, Address]],
         on_result: Callable[[str, bool], None],
     ) -> None:
-        self._path, self._per_node_s = plan.check_path, plan.checks_per_node_s
+        self._path, self._per_node_s = config.check_path, config.checks_per_node_s
         self._settings, self._nodes, self._on_result = settings, nodes, on_result
         self._task: asyncio.Task[None] | None = None
-        self.asked = self.failed = 0
+        self.sent = self.failed = 0
 
     def start(self) -> None:
-        """Check from now on."""
+        """Starts checking."""
         self._task = asyncio.create_task(self._run())
 
     def stop(self) -> None:
-        """Check no more."""
+        """Stops checking."""
         if self._task is not None:
             self._task.cancel()
 
     def table(self) -> dict[str, Any]:
-        """For operators."""
-        every_s = max(1, self._settings.replicas) / self._per_node_s
-        counts = {"asked": self.asked, "failed": self.failed}
-        return {"path": self._path, "each_node_every_s": round(every_s, 1)} | counts
+        """The interval and the counts as a table for operators."""
+        period_s = max(1, self._settings.replicas) / self._per_node_s
+        counts = {"asked": self.sent, "failed": self.failed}
+        return {"path": self._path, "each_node_every_s": round(period_s, 1)} | counts
 
     async def _run(self) -> None:
         while True:
             nodes = self._nodes()
             if not nodes:
-                await asyncio.sleep(EMPTY_S)
+                await asyncio.sleep(NO_NODES_PAUSE_S)
                 continue
-            turn = schedule(sorted(nodes), self._settings.replicas, self._per_node_s, self._settings.index)
-            for wait_s, node in turn:
+            schedule = check_schedule(
+                sorted(nodes), self._settings.replicas, self._per_node_s, self._settings.index
+            )
+            for wait_s, node in schedule:
                 await asyncio.sleep(wait_s)
-                now = self._nodes()
-                if now.keys() != nodes.keys():
+                current = self._nodes()
+                if current.keys() != nodes.keys():
                     break
-                await self._check(node, now[node])
+                await self._check(node, current[node])
 
     async def _check(self, node: str, address: Address) -> None:
-        good = bool(await status_of(address, self._path, WAIT_S))
-        self.asked += 1
-        self.failed += not good
-        self._on_result(node, good)
+        answered = bool(await fetch_status(address, self._path, CHECK_TIMEOUT_S))
+        self.sent += 1
+        self.failed += not answered
+        self._on_result(node, answered)
--- a/covetally/membership/eureka/address_selector.py
+++ b/covetally/membership/eureka/address_selector.py
@@ -1,51 +1,54 @@
-"""Which of a registry's addresses is asked next: in order of preference, with quarantine and return. No I/O."""
+"""Selects the registry address to read next, in order of preference and with backoff after failures. No I/O."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-FIRST_NS, LONGEST_NS = 1_000_000_000, 10_000_000_000
+INITIAL_BACKOFF_NS, MAX_BACKOFF_NS = 1_000_000_000, 10_000_000_000
 
 
 @dataclass(slots=True)
-class _Standing:
-    """How an address has fared: out until then, after so long a pause."""
+class _Backoff:
+    """The backoff of an address: until when it is avoided, and the last delay; 0 after an answer."""
 
     until: int = 0
-    pause: int = 0
+    delay: int = 0
 
 
-class Registries:
-    """The addresses, the most preferred first. Each failure doubles a quarantine, an answer ends it."""
+class AddressSelector:
+    """The addresses, most preferred first. Each failure doubles an address's backoff, an answer ends it."""
 
     def __init__(self, addresses: tuple[str, ...]) -> None:
         self.addresses = addresses
-        self._standing = {address: _Standing() for address in addresses}
+        self._backoffs = {address: _Backoff() for address in addresses}
 
-    def pick(self, now: int, besides: str = "") -> str:
-        """The most preferred one that is out of quarantine, else the one that is soonest; empty if there is none.
+    def select(self, now: int, excluding: str = "") -> str:
+        """The most preferred address not in backoff, else the one whose backoff ends first; empty if none.
 
-        One that comes out of quarantine is asked before those that it is preferred to: that is its return."""
-        there = [a for a in self.addresses if a != besides]
-        for address in there:
-            if self._standing[address].until <= now:
+        An address whose backoff ends is selected again before the less preferred ones.
+        """
+        candidates = [a for a in self.addresses if a != excluding]
+        for address in candidates:
+            if self._backoffs[address].until <= now:
                 return address
-        return min(there, key=lambda a: self._standing[a].until, default="")
+        return min(candidates, key=lambda a: self._backoffs[a].until, default="")
 
-    def any_ready(self, now: int) -> bool:
-        """Whether an address is out of quarantine."""
-        return any(s.until <= now for s in self._standing.values())
+    def has_available(self, now: int) -> bool:
+        """Whether any address is not in backoff."""
+        return any(backoff.until <= now for backoff in self._backoffs.values())
 
-    def answered(self, address: str) -> None:
-        """It gave a whole answer."""
-        self._standing[address] = _Standing()
+    def record_answer(self, address: str) -> None:
+        """The address gave a complete answer."""
+        self._backoffs[address] = _Backoff()
 
-    def failed(self, now: int, address: str, chance: float) -> None:
-        """It gave none. `chance`, from 0 to 1, keeps a crowd of sidecars from returning in one moment."""
-        standing = self._standing[address]
-        standing.pause = min(max(2 * standing.pause, FIRST_NS), LONGEST_NS)
-        standing.until = now + int(standing.pause * (0.75 + 0.5 * chance))
+    def record_failure(self, now: int, address: str, jitter: float) -> None:
+        """The address failed. `jitter`, from 0 to 1, keeps many sidecars from returning at the same moment."""
+        backoff = self._backoffs[address]
+        backoff.delay = min(max(2 * backoff.delay, INITIAL_BACKOFF_NS), MAX_BACKOFF_NS)
+        backoff.until = now + int(backoff.delay * (0.75 + 0.5 * jitter))
 
     def table(self, now: int) -> dict[str, float]:
-        """For operators: for how many seconds each is still out, 0 for one that is not."""
-        return {a: round(max(0, s.until - now) / 1e9, 1) for a, s in self._standing.items()}
+        """For operators: the remaining backoff of each address in seconds, 0 if there is none."""
+        return {
+            address: round(max(0, backoff.until - now) / 1e9, 1) for address, backoff in self._backoffs.items()
+        }
--- a/covetally/membership/eureka/instance_parser.py
+++ b/covetally/membership/eureka/instance_parser.py
@@ -1,7 +1,7 @@
-"""One instance as Eureka lists it, made a member. No I/O.
+"""Parses an instance in Eureka's format into a member. No I/O.
 
-Source: Netflix Eureka wiki, "Eureka REST operations", and the forms that its server's encoders write: ports as
-{"$": 8080, "@enabled": "true"}, numbers and switches as strings, sections left out where empty.
+Source: Netflix Eureka wiki, "Eureka REST operations", and the output of its server's encoders: ports are written
+as {"$": 8080, "@enabled": "true"}, numbers and booleans as strings, and empty sections are left out.
 """
 
 from __future__ import annotations
@@ -18,20 +18,20 @@
 STATES = {
     "UP": UP, "STARTING": STARTING, "DOWN": DOWN, "OUT_OF_SERVICE": LEAVING, "UNKNOWN": DOWN,
 }  # fmt: skip
-MARKS = ("OUT_OF_SERVICE", "DOWN")  # an override that says so holds over whatever the status says
-MAX_WORD = 255  # of an id, a zone and the like
+OVERRIDES = ("OUT_OF_SERVICE", "DOWN")  # overrides that take precedence over the status UP
+MAX_TEXT_LENGTH = 255  # of an id, a zone or another text value
 
 
-class BadEntry(DamagedError):
-    """An entry that cannot be used; the message says why."""
+class InvalidInstance(DamagedError):
+    """The instance cannot be used; the message is the reason."""
 
     code = "registry-entry"
     remedy = "Correct that instance in the registry; the others count."
 
 
 @dataclass(frozen=True, slots=True)
-class Keys:
-    """The names of the metadata that say what Eureka has no field for."""
+class MetadataKeys:
+    """The names of the metadata keys for values that have no field in Eureka."""
 
     zone: str = "zone"
     kind: str = "machineType"
@@ -43,8 +43,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Instance:
-    """What of an entry is needed to follow the registry: `member` is None where it cannot be used, and `why`
-    says why not. `status` is in the registry's own words, for its hash."""
+    """The parts of an instance that are needed to follow the registry.
+
+    `member` is None if the instance cannot be used, and `reason` is why. `status` is the registry's own name of
+    the status, for its hash.
+    """
 
     app: str
     id: str
@@ -52,42 +55,48 @@
     action: str
     updated: int
     member: Member | None
-    why: str = ""
+    reason: str = ""
     up_since: int = field(default=0, compare=False)  # ms, the registry's clock
 
 
-def read(raw: Mapping[str, Any], keys: Keys, app: str = "", wanted: str = "") -> Instance:
-    """An instance from its decoded JSON, or from XML brought into the same form; BadEntry if nobody could say
-    which instance is meant. Those of other applications than `wanted` are read for the hash only."""
+def parse(raw: Mapping[str, Any], metadata_keys: MetadataKeys, app: str = "", wanted: str = "") -> Instance:
+    """Parses an instance from decoded JSON, or from XML converted to the same form.
+
+    Raises InvalidInstance if it has no id. Instances of applications other than `wanted` are parsed only as far
+    as the hash needs them.
+    """
     app = _text(raw.get("app")) or app
-    # An entry without an id is known by its host's name, as Eureka's own clients know it.
+    # Without an id the host name identifies an instance, as in Eureka's own clients.
     name = _text(raw.get("instanceId")) or _text(raw.get("hostName"))
     if not name:
-        raise BadEntry(f"an entry of {app or 'no application'} without an id")
+        raise InvalidInstance(f"an instance of {app or 'no application'} has no id")
     status = _text(raw.get("status")).upper() or "UP"
     lease = _section(raw.get("leaseInfo"))
-    member, why = None, ""
+    member, reason = None, ""
     if not wanted or app.upper() == wanted:
         try:
-            member = _member(raw, keys, name, status, lease)
-        except BadEntry as error:
-            why = str(error)
+            member = _member(raw, metadata_keys, name, status, lease)
+        except InvalidInstance as error:
+            reason = str(error)
     return Instance(
-        app.upper(), name, status, _text(raw.get("actionType")).upper(), _stamp(raw.get("lastUpdatedTimestamp")),
-        member, why, _stamp(lease.get("serviceUpTimestamp")),
+        app.upper(), name, status, _text(raw.get("actionType")).upper(),
+        _timestamp(raw.get("lastUpdatedTimestamp")),
+        member, reason, _timestamp(lease.get("serviceUpTimestamp")),
     )  # fmt: skip
 
 
-def _member(raw: Mapping[str, Any], keys: Keys, name: str, status: str, lease: Mapping[str, Any]) -> Member:
+def _member(
+    raw: Mapping[str, Any], metadata_keys: MetadataKeys, name: str, status: str, lease: Mapping[str, Any]
+) -> Member:
     if status not in STATES:
-        raise BadEntry(f"status {status[:40]!r}")
+        raise InvalidInstance(f"status {status[:40]!r}")
     override = _text(raw.get("overriddenstatus") or raw.get("overriddenStatus")).upper()
-    word = override if status == "UP" and override in MARKS else status
+    source_state = override if status == "UP" and override in OVERRIDES else status
     metadata = _section(raw.get("metadata"))
-    state = STATES[word]
-    if state == UP and _switch(metadata.get(keys.drain)):
-        state, word = LEAVING, "drain"
-    zone = _text(metadata.get(keys.zone))
+    state = STATES[source_state]
+    if state == UP and _flag(metadata.get(metadata_keys.drain)):
+        state, source_state = LEAVING, "drain"
+    zone = _text(metadata.get(metadata_keys.zone))
     if not zone:
         center = _section(_section(raw.get("dataCenterInfo")).get("metadata"))
         zone = _text(center.get("availability-zone"))
@@ -95,20 +104,20 @@
         id=name,
         address=(_host(raw), _port(raw)),
         state=state,
-        word=word,
+        source_state=source_state,
         zone=zone,
-        kind=_text(metadata.get(keys.kind)),
-        cell=int(_number(metadata.get(keys.cell), keys.cell, 0, 1_000_000)),
-        weight=_number(metadata.get(keys.weight), keys.weight, 1.0, 1_000_000),
-        dirty=_stamp(raw.get("lastDirtyTimestamp")),
-        updated=_stamp(raw.get("lastUpdatedTimestamp")),
-        registered=_stamp(lease.get("registrationTimestamp")),
-        boot=_stamp(metadata.get(keys.started)),
+        kind=_text(metadata.get(metadata_keys.kind)),
+        cell=int(_number(metadata.get(metadata_keys.cell), metadata_keys.cell, 0, 1_000_000)),
+        weight=_number(metadata.get(metadata_keys.weight), metadata_keys.weight, 1.0, 1_000_000),
+        dirty=_timestamp(raw.get("lastDirtyTimestamp")),
+        updated=_timestamp(raw.get("lastUpdatedTimestamp")),
+        registered=_timestamp(lease.get("registrationTimestamp")),
+        boot=_timestamp(metadata.get(metadata_keys.started)),
     )
 
 
 def _host(raw: Mapping[str, Any]) -> str:
-    """The address to connect to. There is no DNS, so a host's name serves only where it is an address itself."""
+    """The IP address to connect to. Names are not resolved, so hostName is used only if it is an IP address."""
     found: IPv4Address | IPv6Address | None = None
     for key in ("ipAddr", "hostName"):
         try:
@@ -117,26 +126,28 @@
         except ValueError:
             continue
     if found is None:
-        raise BadEntry(f"no address: ipAddr {_text(raw.get('ipAddr'))[:60]!r}")
+        raise InvalidInstance(f"no address: ipAddr {_text(raw.get('ipAddr'))[:60]!r}")
     if found.is_unspecified or found.is_multicast or getattr(found, "scope_id", None):
-        raise BadEntry(f"not an address to connect to: {found}")
+        raise InvalidInstance(f"not an address to connect to: {found}")
     return str(found)
 
 
 def _port(raw: Mapping[str, Any]) -> int:
     text, enabled = _port_of(raw.get("port"))
     if not enabled:
-        only = " (a secure one is; nodes are spoken to in plain HTTP)"
-        raise BadEntry(f"its plain port is not enabled{only if _port_of(raw.get('securePort'))[1] else ''}")
+        only = " (a secure one is; nodes are called over plain HTTP)"
+        raise InvalidInstance(
+            f"its plain port is not enabled{only if _port_of(raw.get('securePort'))[1] else ''}"
+        )
     if not (text.isascii() and text.isdigit() and 0 < int(text[:9]) < 65536):
-        raise BadEntry(f"port {text[:20]!r}")
+        raise InvalidInstance(f"port {text[:20]!r}")
     return int(text)
 
 
 def _port_of(value: Any) -> tuple[str, bool]:
-    """A port's number and whether it is enabled; absent is not."""
+    """A port's number, and whether it is enabled; an absent one is not."""
     if isinstance(value, Mapping):
-        return _text(value.get("$")), _switch(value.get("@enabled", "true"))
+        return _text(value.get("$")), _flag(value.get("@enabled", "true"))
     text = _text(value)
     return text, bool(text)
 
@@ -147,28 +158,28 @@
 
 def _text(value: Any) -> str:
     if isinstance(value, str):
-        return value.strip() if len(value) <= MAX_WORD else ""
+        return value.strip() if len(value) <= MAX_TEXT_LENGTH else ""
     return str(value) if isinstance(value, int) and not isinstance(value, bool) and abs(value) < 1 << 63 else ""
 
 
-def _switch(value: Any) -> bool:
+def _flag(value: Any) -> bool:
     return value is True or (isinstance(value, str) and value.strip().lower() == "true")
 
 
-def _stamp(value: Any) -> int:
-    """A time in ms; 0 where there is none that can be read."""
+def _timestamp(value: Any) -> int:
+    """A time in ms, 0 if it is absent or invalid."""
     text = _text(value)
     return int(text) if text.isascii() and text.isdigit() and len(text) <= 15 else 0
 
 
-def _number(value: Any, key: str, default: float, most: float) -> float:
+def _number(value: Any, key: str, default: float, maximum: float) -> float:
     text = str(value) if isinstance(value, float) else _text(value)
     if not text:
         return default
     try:
         number = float(text)
     except ValueError:
-        raise BadEntry(f"metadata {key} = {text[:40]!r}") from None
-    if not (math.isfinite(number) and 0 <= number <= most):
-        raise BadEntry(f"metadata {key} = {text[:40]!r}")
+        raise InvalidInstance(f"metadata {key} = {text[:40]!r}") from None
+    if not (math.isfinite(number) and 0 <= number <= maximum):
+        raise InvalidInstance(f"metadata {key} = {text[:40]!r}")
     return number
--- a/covetally/membership/eureka/lease.py
+++ b/covetally/membership/eureka/lease.py
@@ -1,35 +1,35 @@
-"""Decides when an instance is registered, renewed or told down. No I/O; times are s on one clock.
-
-    registered as    health        act
-    -------------    ------        ---
-    nothing          good          register as UP
-    nothing          bad, silent   nothing: what never answered is not offered to anybody
-    UP               good          renew
-    UP               bad           register as DOWN: it answers, and says that it is not well
-    DOWN             bad           renew
-    DOWN             good          register as UP
-    UP, DOWN         silent        nothing: the lease runs out, as it has to for a process that hangs
-
-A renewal that the registry answers with 404 means that it has forgotten the instance: it is registered anew.
+"""Decides when an instance is registered, renewed or reported down. No I/O; times are s on one clock.
+
+    registered as    health                     action
+    -------------    ------                     ------
+    nothing          healthy                    register as UP
+    nothing          unhealthy, unresponsive    nothing: it was never healthy, so it is not offered to clients
+    UP               healthy                    renew
+    UP               unhealthy                  register as DOWN: it answers, but reports that it is not healthy
+    DOWN             unhealthy                  renew
+    DOWN             healthy                    register as UP
+    UP, DOWN         unresponsive               nothing: the lease of a process that hangs must expire
+
+If the registry answers a renewal with 404, it has lost the instance, and the instance is registered again.
 """
 
 from __future__ import annotations
 
 import enum
 
-AGAIN_S = 5.0  # between tries to register, if renewals are further apart
+REGISTRATION_RETRY_S = 5.0  # between attempts to register, if renewals are further apart
 
 
 class Health(enum.Enum):
-    """What the instance's own health answer was: 200, another one, or none."""
+    """The instance's answer to a health check: status 200, another status, or none."""
 
-    GOOD = "good"
-    BAD = "bad"
-    SILENT = "silent"
+    HEALTHY = "good"
+    UNHEALTHY = "bad"
+    UNRESPONSIVE = "silent"
 
 
-class Act(enum.Enum):
-    """What the registry is told."""
+class Action(enum.Enum):
+    """The next call to the registry."""
 
     NOTHING = "nothing"
     UP = "register as UP"
@@ -38,35 +38,35 @@
 
 
 class Lease:
-    """One instance's registration, as the registry is known to have it."""
+    """The registration of one instance, as last confirmed by the registry."""
 
     def __init__(self, renew_s: float) -> None:
         self._renew_s = renew_s
-        self.status = ""  # UP, DOWN, or empty: not registered
-        self.dirty_ms = 0  # when the instance last changed what it says of itself
-        self.health = Health.SILENT
+        self.status = ""  # UP, DOWN, or empty if it is not registered
+        self.dirty_ms = 0  # when the instance last changed its own status
+        self.health = Health.UNRESPONSIVE
 
-    def next(self, health: Health) -> Act:
-        """What to do now that its health is known."""
+    def next_action(self, health: Health) -> Action:
+        """The action that follows from a health check."""
         self.health = health
-        if health is Health.SILENT or (health is Health.BAD and not self.status):
-            return Act.NOTHING
-        wanted = "UP" if health is Health.GOOD else "DOWN"
-        return Act.RENEW if self.status == wanted else Act[wanted]
-
-    def done(self, act: Act, status: int) -> None:
-        """The registry answered with this status."""
-        if act is Act.RENEW and status == 404:
+        if health is Health.UNRESPONSIVE or (health is Health.UNHEALTHY and not self.status):
+            return Action.NOTHING
+        desired = "UP" if health is Health.HEALTHY else "DOWN"
+        return Action.RENEW if self.status == desired else Action[desired]
+
+    def record_response(self, action: Action, status: int) -> None:
+        """Records the status with which the registry answered an action."""
+        if action is Action.RENEW and status == 404:
             self.status = ""
-        elif act in (Act.UP, Act.DOWN) and 200 <= status < 300:
-            self.status = act.name
+        elif action in (Action.UP, Action.DOWN) and 200 <= status < 300:
+            self.status = action.name
 
-    def stamp(self, act: Act, now_ms: int) -> int:
-        """lastDirtyTimestamp to send: it rises with every registration, and never goes back."""
-        if act is not Act.RENEW:
+    def dirty_timestamp(self, action: Action, now_ms: int) -> int:
+        """The lastDirtyTimestamp to send: it increases with every registration and never decreases."""
+        if action is not Action.RENEW:
             self.dirty_ms = max(now_ms, self.dirty_ms + 1)
         return self.dirty_ms
 
     def pause_s(self) -> float:
-        """Until its health is looked at again."""
-        return self._renew_s if self.status else min(self._renew_s, AGAIN_S)
+        """The time until the next health check."""
+        return self._renew_s if self.status else min(self._renew_s, REGISTRATION_RETRY_S)
--- a/covetally/membership/eureka/registry_view.py
+++ b/covetally/membership/eureka/registry_view.py
@@ -1,8 +1,8 @@
-"""A registry as this sidecar follows it: full reads and deltas, held together by Eureka's hash. No I/O.
+"""The state of a registry built from full reads and deltas, verified with Eureka's hash. No I/O.
 
-The hash is the number of instances by status, over all applications ("DOWN_1_UP_12_"). A delta holds the changes
-of the last few minutes, each time anew, so applying one twice must change nothing; within one answer the youngest
-change of an instance counts, whatever the order. A hash that does not fit forces a full read.
+The hash is the number of instances per status over all applications ("DOWN_1_UP_12_"). Every delta repeats the
+changes of the last few minutes, so applying a change twice must have no effect. Within one delta the latest
+change of an instance counts, whatever the order. A view that does not match the hash is replaced by a full read.
 """
 
 from __future__ import annotations
@@ -12,100 +12,108 @@
 from dataclasses import replace
 
 from covetally.membership.eureka.instance_parser import Instance
-from covetally.membership.model import Member, Read
+from covetally.membership.model import Member, Snapshot
 
-_Seen = dict[tuple[str, str], tuple[str, int]]  # (application, id): status, lastUpdatedTimestamp
+_InstanceStates = dict[tuple[str, str], tuple[str, int]]  # (application, id): status, lastUpdatedTimestamp
 
 
-class View:
-    """All instances of one registry address; those of `app` whole. An empty `app` means all that are told.
+class RegistryView:
+    """The instances listed by one registry address: members for those of `app`, only the status for others.
 
-    `offset_ns` brings the registry's time to this sidecar's; None where it told none.
+    An empty `app` stands for all applications. `clock_offset_ns` converts the registry's time to this sidecar's
+    clock; it is None if the registry sent no time.
     """
 
-    def __init__(self, app: str, teller: str = "", offset_ns: int | None = None) -> None:
+    def __init__(self, app: str, endpoint: str = "", clock_offset_ns: int | None = None) -> None:
         self.app = app.upper()
-        self.teller = teller
-        self.offset_ns = offset_ns
+        self.endpoint = endpoint
+        self.clock_offset_ns = clock_offset_ns
         self.revision = 0
-        self._seen: _Seen = {}
+        self._states: _InstanceStates = {}
         self._counts: Counter[str] = Counter()
         self._members: dict[str, Member] = {}
-        self._bad: dict[str, str] = {}
+        self._invalid: dict[str, str] = {}
 
-    def add(self, one: Instance, before: View | None = None) -> None:
-        """One more of a full read; what is unchanged since `before` is taken from there."""
-        key = (one.app, one.id)
-        known = self._seen.get(key)
+    def add(self, instance: Instance, previous: RegistryView | None = None) -> None:
+        """Adds an instance of a full read; a member that equals the one in `previous` is taken from there."""
+        key = (instance.app, instance.id)
+        known = self._states.get(key)
         if known is not None:
             self._counts[known[0]] -= 1
-        self._seen[key] = (one.status, one.updated)
-        self._counts[one.status] += 1
-        if self.app and one.app != self.app:
+        self._states[key] = (instance.status, instance.updated)
+        self._counts[instance.status] += 1
+        if self.app and instance.app != self.app:
             return
-        if one.member is None:
-            self._bad[one.id] = one.why
-            self._members.pop(one.id, None)
+        if instance.member is None:
+            self._invalid[instance.id] = instance.reason
+            self._members.pop(instance.id, None)
             return
-        self._bad.pop(one.id, None)
-        known_member = (before or self)._members.get(one.id)
-        same = known_member == one.member
-        self._members[one.id] = known_member if same and known_member is not None else self._dated(one)
-
-    def delta(self, instances: Iterable[Instance]) -> bool:
-        """What changed since; whether anything did."""
-        youngest: dict[tuple[str, str], Instance] = {}
-        for one in instances:
-            other = youngest.get((one.app, one.id))
-            if other is None or one.updated >= other.updated:
-                youngest[one.app, one.id] = one
+        self._invalid.pop(instance.id, None)
+        known_member = (previous or self)._members.get(instance.id)
+        unchanged = known_member == instance.member
+        self._members[instance.id] = (
+            known_member if unchanged and known_member is not None else self._with_start_time(instance)
+        )
+
+    def apply_delta(self, instances: Iterable[Instance]) -> bool:
+        """Applies the changes of a delta; returns whether the view changed."""
+        latest: dict[tuple[str, str], Instance] = {}
+        for instance in instances:
+            newest = latest.get((instance.app, instance.id))
+            if newest is None or instance.updated >= newest.updated:
+                latest[instance.app, instance.id] = instance
         changed = False
-        self._members, self._bad = dict(self._members), dict(self._bad)  # what was read must stay as it was
-        for key, one in youngest.items():
-            known = self._seen.get(key)
-            if known is not None and one.updated < known[1]:
+        self._members, self._invalid = (
+            dict(self._members),
+            dict(self._invalid),
+        )  # earlier snapshots must not change
+        for key, instance in latest.items():
+            known = self._states.get(key)
+            if known is not None and instance.updated < known[1]:
                 continue
-            if one.action == "DELETED":
+            if instance.action == "DELETED":
                 changed |= self._remove(key)
                 continue
-            same = one.member is None or self._members.get(one.id) == one.member
-            if same and known == (one.status, one.updated):
+            unchanged = instance.member is None or self._members.get(instance.id) == instance.member
+            if unchanged and known == (instance.status, instance.updated):
                 continue
-            self.add(one)
+            self.add(instance)
             changed = True
         self.revision += changed
         return changed
 
     def _remove(self, key: tuple[str, str]) -> bool:
-        known = self._seen.pop(key, None)
+        known = self._states.pop(key, None)
         if known is None:
             return False
         self._counts[known[0]] -= 1
         if not self.app or key[0] == self.app:
             self._members.pop(key[1], None)
-            self._bad.pop(key[1], None)
+            self._invalid.pop(key[1], None)
         return True
 
-    def fits(self, told: str | None) -> bool:
-        """Whether the hash that was told is this view's. Where none was told, nothing speaks against it."""
-        return told is None or told == self.hash()
+    def matches_hash(self, reported_hash: str | None) -> bool:
+        """Whether the view matches the reported hash, or no hash was reported."""
+        return reported_hash is None or reported_hash == self.hash()
 
     def hash(self) -> str:
-        """Eureka's hash of this view."""
+        """The view's hash as Eureka computes it."""
         return "".join(f"{status}_{count}_" for status, count in sorted(self._counts.items()) if count)
 
-    def read(self, clean: bool = True) -> Read:
-        """What the believing module is told."""
-        return Read("eureka", self.teller, self._members, f"{self.teller} #{self.revision}", clean, self._bad)
+    def snapshot(self, complete: bool = True) -> Snapshot:
+        """The view as a snapshot for the membership view."""
+        return Snapshot(
+            "eureka", self.endpoint, self._members, f"{self.endpoint} #{self.revision}", complete, self._invalid
+        )
 
-    def _dated(self, one: Instance) -> Member:
-        """The member with its start on this sidecar's clock.
+    def _with_start_time(self, instance: Instance) -> Member:
+        """The member with its start time on this sidecar's clock.
 
-        The registry's time of the answer and of the node's coming up are of one clock. A start that the node
-        names itself is by the node's clock, the best there is.
+        The registry takes the time of its answer and of the node's change to UP from the same clock. A start time
+        that the node itself reports is from the node's clock, but it is the best estimate available.
         """
-        assert one.member is not None
-        start_ms = one.member.boot or one.up_since
-        if self.offset_ns is None or not start_ms:
-            return one.member
-        return replace(one.member, started_ns=max(0, start_ms * 1_000_000 + self.offset_ns))
+        assert instance.member is not None
+        start_ms = instance.member.boot or instance.up_since
+        if self.clock_offset_ns is None or not start_ms:
+            return instance.member
+        return replace(instance.member, started_ns=max(0, start_ms * 1_000_000 + self.clock_offset_ns))
--- a/covetally/membership/file.py
+++ b/covetally/membership/file.py
@@ -1,4 +1,4 @@
-"""A file as a source of nodes: TOML, read again when it changes.
+"""A TOML file as a source of nodes. It is read again when it changes.
 
 [[node]]
 id = "n1"
@@ -19,138 +19,140 @@
 from typing import Any
 
 from covetally.errors import DamagedError
-from covetally.membership.model import STATES, UP, Member, Read
+from covetally.membership.model import STATES, UP, Member, Snapshot
 
 log = logging.getLogger(__name__)
 
-MAX_FILE = 8 * 1024 * 1024
-LOOK_S = 1.0
-KINDS = {
+MAX_FILE_BYTES = 8 * 1024 * 1024
+POLL_S = 1.0
+KEY_TYPES = {
     "id": str, "address": str, "state": str, "zone": str, "machine_type": str, "cell": int,
     "weight": (int, float), "started_ms": int,
 }  # fmt: skip
 
 
-class FileError(DamagedError):
-    """The file cannot be used; the message is one line that names the key."""
+class NodeFileError(DamagedError):
+    """The file cannot be used. The message is one line and names the key."""
 
     code = "roster-file"
     remedy = "Correct the named line of the file of nodes; the last good list stays in force."
 
 
-def read_nodes(text: str) -> dict[str, Member]:
-    """The nodes that a file's text lists; FileError if any of it is wrong: a file is written by hand, and half of
-    it must not count."""
+def parse_nodes(text: str) -> dict[str, Member]:
+    """The nodes in a file's text.
+
+    Raises NodeFileError if any part of it is invalid: an editing mistake must not apply half of the file.
+    """
     try:
         document = tomllib.loads(text)
     except (ValueError, RecursionError) as error:
-        raise FileError(str(error)) from None
+        raise NodeFileError(str(error)) from None
     if unknown := sorted(document.keys() - {"node"}):
-        raise FileError(f"{unknown[0]}: no such key; there is [[node]]")
+        raise NodeFileError(f"{unknown[0]}: no such key; there is [[node]]")
     tables = document.get("node", [])
     if not isinstance(tables, list):
-        raise FileError("node: has to be [[node]], once for each node")
+        raise NodeFileError("node: must be [[node]], once for each node")
     members: dict[str, Member] = {}
     for number, table in enumerate(tables):
         member = _member(f"node[{number}]", table)
         if member.id in members:
-            raise FileError(f"node[{number}].id = {member.id!r}: is there twice")
+            raise NodeFileError(f"node[{number}].id = {member.id!r}: is listed twice")
         members[member.id] = member
     return members
 
 
-def _member(place: str, table: Any) -> Member:
+def _member(location: str, table: Any) -> Member:
     if not isinstance(table, dict):
-        raise FileError(f"{place}: has to be a table")
+        raise NodeFileError(f"{location}: must be a table")
     for key, value in table.items():
-        if key not in KINDS:
-            raise FileError(f"{place}.{key}: no such key; there are {', '.join(KINDS)}")
-        if not isinstance(value, KINDS[key]) or isinstance(value, bool):
-            raise FileError(f"{place}.{key} = {value!r}: of the wrong type")
+        if key not in KEY_TYPES:
+            raise NodeFileError(f"{location}.{key}: no such key; there are {', '.join(KEY_TYPES)}")
+        if not isinstance(value, KEY_TYPES[key]) or isinstance(value, bool):
+            raise NodeFileError(f"{location}.{key} = {value!r}: has the wrong type")
     for key in ("id", "address"):
         if not table.get(key):
-            raise FileError(f"{place}.{key}: is missing")
+            raise NodeFileError(f"{location}.{key}: is missing")
     state = table.get("state", UP)
     if state not in STATES:
-        raise FileError(f"{place}.state = {state!r}: has to be one of {', '.join(STATES)}")
+        raise NodeFileError(f"{location}.state = {state!r}: must be one of {', '.join(STATES)}")
     host, _, port = table["address"].rpartition(":")
     try:
         address = (str(ip_address(host.removeprefix("[").removesuffix("]"))), int(port))
         if not 0 < address[1] < 65536:
             raise ValueError
     except ValueError:
-        raise FileError(f"{place}.address = {table['address']!r}: has to be A.B.C.D:PORT") from None
+        raise NodeFileError(f"{location}.address = {table['address']!r}: must be A.B.C.D:PORT") from None
     cell, weight, boot = table.get("cell", 0), float(table.get("weight", 1.0)), table.get("started_ms", 0)
     if cell < 0 or boot < 0 or not 0 <= weight <= 1_000_000:
-        raise FileError(f"{place}: cell, weight and started_ms must not be below 0")
+        raise NodeFileError(f"{location}: cell, weight and started_ms must not be below 0")
     return Member(
         table["id"], address, state, state, table.get("zone", ""), table.get("machine_type", ""), cell, weight,
         boot=boot, started_ns=boot * 1_000_000 if boot else -1,
     )  # fmt: skip
 
 
-def load(path: str) -> dict[str, Member]:
-    """The nodes in a file; FileError if it cannot be used."""
+def load_nodes(path: str) -> dict[str, Member]:
+    """The nodes in a file; NodeFileError if it cannot be used."""
     try:
-        with Path(path).open("rb") as file:
-            data = file.read(MAX_FILE + 1)
-        if len(data) > MAX_FILE:
-            raise FileError(f"over {MAX_FILE} bytes")
-        return read_nodes(data.decode())
+        with Path(path).open("rb") as source:
+            data = source.read(MAX_FILE_BYTES + 1)
+        if len(data) > MAX_FILE_BYTES:
+            raise NodeFileError(f"over {MAX_FILE_BYTES} bytes")
+        return parse_nodes(data.decode())
     except (OSError, UnicodeDecodeError) as error:
-        raise FileError(str(error)) from None
+        raise NodeFileError(str(error)) from None
 
 
-class File:
-    """Looks at the file once a second. One that cannot be used is logged, and what it said before holds."""
+class FileSource:
+    """Checks the file for changes once a second. If it becomes unusable, logs that and keeps the last nodes."""
 
     name = "file"
 
-    def __init__(self, path: str, on_read: Callable[[Read], None]) -> None:
-        self._path, self._on_read = path, on_read
-        self._mark: Any = None
+    def __init__(self, path: str, on_snapshot: Callable[[Snapshot], None]) -> None:
+        self._path, self._on_snapshot = path, on_snapshot
+        self._version: Any = None
         self._reads = 0
         self._failing = ""
         self._members: dict[str, Member] | None = None
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Look from now on; the first look is taken at once."""
-        self.look()
+        """Starts polling; the file is read at once."""
+        self.poll()
         self._task = asyncio.create_task(self._run())
 
     def stop(self) -> None:
-        """Look no more."""
+        """Stops polling."""
         if self._task is not None:
             self._task.cancel()
 
     async def _run(self) -> None:
         while True:
-            await asyncio.sleep(LOOK_S)
-            self.look()
+            await asyncio.sleep(POLL_S)
+            self.poll()
 
-    def look(self) -> None:
-        """Read the file if it has changed; what it says counts as said anew each time."""
+    def poll(self) -> None:
+        """Reads the file if it has changed, and reports its nodes as a new snapshot even if it has not."""
         try:
             status = os.stat(self._path)
-            mark = (status.st_mtime_ns, status.st_size, status.st_ino)
-            if mark != self._mark:
-                self._mark, self._members = mark, load(self._path)
+            version = (status.st_mtime_ns, status.st_size, status.st_ino)
+            if version != self._version:
+                self._version, self._members = version, load_nodes(self._path)
                 self._reads += 1
             self._failing = ""
-        except (OSError, FileError) as error:
+        except (OSError, NodeFileError) as error:
             if str(error) != self._failing:
-                log.error("roster.file: %s: %s: what it said before holds", self._path, error)
+                log.error("roster.file: %s: %s: the previous list stays in use", self._path, error)
             self._failing = str(error)
             return
         if self._members is not None:
-            self._on_read(Read(self.name, self._path, self._members, f"{self._path} #{self._reads}"))
+            self._on_snapshot(Snapshot(self.name, self._path, self._members, f"{self._path} #{self._reads}"))
 
     def table(self) -> dict[str, Any]:
-        """For operators."""
+        """The state of the source as a table for operators."""
         counts = {"reads": self._reads}
         return {"source": self.name, "path": self._path, "failing": self._failing, "counts": counts}
 
-    async def witness(self, besides: str) -> Read | None:
-        """A file has no second address."""
+    async def read_other_address(self, excluding: str) -> Snapshot | None:
+        """None: a file has no second address."""
         return None
--- a/covetally/membership/http.py
+++ b/covetally/membership/http.py
@@ -1,6 +1,6 @@
-"""Calls to a registry over HTTP/1.1, on one kept connection, bounded in time, size and redirects.
+"""HTTP/1.1 calls to a registry over one persistent connection, limited in time, size and redirects.
 
-The seam to `net` is `Waiting`: the sockets and the parser of the request path, nothing else of it.
+Of `net` it uses only `Waiting`, that is the sockets and the parser of the request path.
 """
 
 from __future__ import annotations
@@ -17,88 +17,95 @@
 from covetally.net.waiting import Waiting
 from covetally.operator.url import Url, split_url
 
-REDIRECTS = 3
-REDIRECTED = (301, 302, 303, 307, 308)
-SLICE = 16 * 1024  # bytes handled before requests may go on
-FAILURES = (OSError, Malformed, TimeoutError)
+MAX_REDIRECTS = 3
+REDIRECT_STATUSES = (301, 302, 303, 307, 308)
+CHUNK_BYTES = 16 * 1024  # handled before the event loop may serve requests again
+CALL_ERRORS = (OSError, Malformed, TimeoutError)
 
 
-class Refused(Broken):
-    """An answer that is of no use; `status` is what it said."""
+class UnexpectedStatus(Broken):
+    """An answer with an unusable `status`."""
 
     def __init__(self, status: int, text: str) -> None:
         super().__init__(text)
         self.status = status
 
 
-def credentials(path: str) -> bytes:
-    """The Authorization header's value (RFC 7617) from a file whose first line is USER:PASSWORD; OSError or
-    ValueError where there is none."""
+def read_credentials(path: str) -> bytes:
+    """The Authorization header's value (RFC 7617) from a file whose first line is USER:PASSWORD.
+
+    Raises OSError or ValueError if the file cannot be used.
+    """
     line = Path(path).read_text(encoding="utf-8").partition("\n")[0].strip()
     if ":" not in line:
         raise ValueError(f"{path}: its first line is not USER:PASSWORD")
     return b"Basic " + base64.b64encode(line.encode())
 
 
-class Answer:
-    """An answer whose head has come; `body` reads the rest, decoded, in slices."""
+class RegistryResponse:
+    """An answer whose head has arrived; `body` reads and decodes the rest in chunks."""
 
-    def __init__(self, status: int, headers: Headers, client: Http, stream: Waiting, most: int) -> None:
+    def __init__(
+        self, status: int, headers: Headers, client: HttpClient, stream: Waiting, max_bytes: int
+    ) -> None:
         self.status = status
         self._headers = dict(headers)
-        self._client, self._stream, self._most = client, stream, most
+        self._client, self._stream, self._max_bytes = client, stream, max_bytes
 
     def header(self, name: bytes) -> str:
         """A header's value by its name in lower case, empty if absent."""
         return self._headers.get(name, b"").decode("latin-1")
 
     def date_ms(self) -> int | None:
-        """When the other side says that it answered, ms since the epoch."""
+        """The time in the Date header in ms since the epoch; None if there is no valid one."""
         try:
             return int(parsedate_to_datetime(self.header(b"date")).timestamp() * 1000)
         except (ValueError, TypeError, IndexError, OverflowError):
             return None
 
     async def body(self) -> AsyncIterator[bytes]:
-        """The body in slices, unzipped, with a turn for the event loop after each; Malformed past the bound."""
-        zipped = self.header(b"content-encoding").lower() in ("gzip", "x-gzip")
-        unzip = zlib.decompressobj(16 + zlib.MAX_WBITS) if zipped else None
-        passed = 0
+        """The decompressed body in chunks; yields to the event loop after each. Malformed if it is too long."""
+        gzipped = self.header(b"content-encoding").lower() in ("gzip", "x-gzip")
+        decompressor = zlib.decompressobj(16 + zlib.MAX_WBITS) if gzipped else None
+        received = 0
         while isinstance(event := await self._stream.next_event(), bytes):
-            rest = event
-            while rest:
-                if unzip is None:
-                    piece, rest = rest[:SLICE], rest[SLICE:]
+            remaining = event
+            while remaining:
+                if decompressor is None:
+                    chunk, remaining = remaining[:CHUNK_BYTES], remaining[CHUNK_BYTES:]
                 else:
                     try:
-                        piece, rest = unzip.decompress(rest, SLICE), unzip.unconsumed_tail
+                        chunk, remaining = (
+                            decompressor.decompress(remaining, CHUNK_BYTES),
+                            decompressor.unconsumed_tail,
+                        )
                     except zlib.error as error:
                         raise Malformed(f"gzip: {error}") from None
-                passed += len(piece)
-                if passed > self._most:
-                    raise Malformed(f"an answer of over {self._most} bytes")
-                if piece:
-                    yield piece
+                received += len(chunk)
+                if received > self._max_bytes:
+                    raise Malformed(f"the answer is over {self._max_bytes} bytes")
+                if chunk:
+                    yield chunk
                 await asyncio.sleep(0)
-                if unzip is not None and unzip.eof:
+                if decompressor is not None and decompressor.eof:
                     break
         if event is not End.MESSAGE:
-            raise Broken("ended inside an answer")
-        if unzip is not None and not unzip.eof:
-            raise Broken("gzip cut off")
-        self._client.give_back(self._stream)
+            raise Broken("the connection ended within an answer")
+        if decompressor is not None and not decompressor.eof:
+            raise Broken("the gzip data is truncated")
+        self._client.release(self._stream)
 
-    async def drop(self) -> None:
-        """Read the body and forget it."""
+    async def discard(self) -> None:
+        """Reads the body and discards it."""
         async for _ in self.body():
             pass
 
 
-class Http:
-    """One connection at a time, kept while calls go to the same place."""
+class HttpClient:
+    """Makes calls over one connection at a time, which is kept while they go to the same origin."""
 
-    def __init__(self, most: int, authorization: bytes = b"") -> None:
-        self._most = most
+    def __init__(self, max_bytes: int, authorization: bytes = b"") -> None:
+        self._max_bytes = max_bytes
         self.authorization = authorization
         self._stream: Waiting | None = None
         self._origin: tuple[str, int] | None = None
@@ -106,48 +113,55 @@
 
     async def call(
         self, method: str, base: Url, path: str, body: bytes = b"", headers: tuple[tuple[str, str], ...] = ()
-    ) -> Answer:
-        """Ask; redirects are followed, at most REDIRECTS of them, and credentials go to `base` alone.
+    ) -> RegistryResponse:
+        """Makes a call. Follows up to MAX_REDIRECTS redirects, sends credentials only to the origin of `base`.
 
-        One of FAILURES if there is no answer. The caller sets the time limit, reads the body, and calls `close`
-        if anything fails on the way."""
+        Raises one of CALL_ERRORS if there is no answer. The caller sets the time limit, reads the body, and calls
+        `close` if anything fails.
+        """
         target = str(base) + path
-        for _ in range(REDIRECTS + 1):
+        for _ in range(MAX_REDIRECTS + 1):
             url = split_url(target.partition("?")[0])
             query = "?" + target.partition("?")[2] if "?" in target else ""
-            answer = await self._once(method, url, query, body, headers, url.origin == base.origin)
-            if answer.status not in REDIRECTED:
-                return answer
-            await answer.drop()
-            target = urljoin(target, answer.header(b"location"))
+            response = await self._send(method, url, query, body, headers, url.origin == base.origin)
+            if response.status not in REDIRECT_STATUSES:
+                return response
+            await response.discard()
+            target = urljoin(target, response.header(b"location"))
             try:
                 split_url(target.partition("?")[0])
             except ValueError as error:
-                raise Broken(f"redirected to what is {error}") from None
-        raise Broken(f"redirected more than {REDIRECTS} times")
-
-    async def _once(
-        self, method: str, url: Url, query: str, body: bytes, more: tuple[tuple[str, str], ...], trusted: bool
-    ) -> Answer:
+                raise Broken(f"redirected to an unusable URL: {error}") from None
+        raise Broken(f"redirected more than {MAX_REDIRECTS} times")
+
+    async def _send(
+        self,
+        method: str,
+        url: Url,
+        query: str,
+        body: bytes,
+        extra_headers: tuple[tuple[str, str], ...],
+        send_credentials: bool,
+    ) -> RegistryResponse:
         host = str(url).removeprefix("http://").partition("/")[0]
         headers = [(b"host", host.encode()), (b"accept-encoding", b"gzip")]
-        headers += [(name.encode(), value.encode()) for name, value in more]
-        if self.authorization and trusted:
+        headers += [(name.encode(), value.encode()) for name, value in extra_headers]
+        if self.authorization and send_credentials:
             headers.append((b"authorization", self.authorization))
         if body or method != "GET":
             headers.append((b"content-length", b"%d" % len(body)))
-        first = f"{method} {url.path or '/'}{query} HTTP/1.1".encode()
-        stream = await self._connected(url.origin)
+        request_line = f"{method} {url.path or '/'}{query} HTTP/1.1".encode()
+        stream = await self._connection_to(url.origin)
         self.calls += 1
-        await stream.write(encode(first, headers, body))
+        await stream.write(encode(request_line, headers, body))
         head = await stream.next_event()
         while isinstance(head, ResponseHead) and head.status < 200:
             head = await stream.next_event()
         if not isinstance(head, ResponseHead):
-            raise Broken("ended before an answer")
-        return Answer(head.status, head.headers, self, stream, self._most)
+            raise Broken("the connection ended before an answer")
+        return RegistryResponse(head.status, head.headers, self, stream, self._max_bytes)
 
-    async def _connected(self, origin: tuple[str, int]) -> Waiting:
+    async def _connection_to(self, origin: tuple[str, int]) -> Waiting:
         stream = self._stream
         if stream is not None and (self._origin != origin or stream.disturbed()):
             await self.close()
@@ -158,31 +172,33 @@
         self._stream, self._origin = stream, origin
         return stream
 
-    def give_back(self, stream: Waiting) -> None:
-        """An answer was read to its end: keep the connection, if it may be kept."""
+    def release(self, stream: Waiting) -> None:
+        """Keeps the connection for the next call after an answer was read completely, if it can be reused."""
         if stream is self._stream and not stream.recycle():
             self._stream = None
             stream.close()
 
     async def close(self) -> None:
-        """Close what is kept or under way."""
+        """Closes the connection, also during a call."""
         if self._stream is not None:
             stream, self._stream = self._stream, None
             stream.close()
 
 
-async def status_of(address: tuple[str, int], path: str, within_s: float) -> int:
-    """The status that a GET of the path is answered with, 0 if no answer comes in time. It goes out on a
-    connection of its own: a kept one would prove less."""
+async def fetch_status(address: tuple[str, int], path: str, timeout_s: float) -> int:
+    """The status of a GET of the path, 0 if no answer comes in time.
+
+    Uses a new connection, since an answer on an existing one would not show that connections are accepted.
+    """
     stream = None
     try:
-        async with asyncio.timeout(within_s):
+        async with asyncio.timeout(timeout_s):
             stream = await Waiting.connect(address)
             host = f"{address[0]}:{address[1]}".encode()
-            first = f"GET {path} HTTP/1.1".encode()
-            await stream.write(encode(first, [(b"host", host), (b"connection", b"close")], b""))
+            request_line = f"GET {path} HTTP/1.1".encode()
+            await stream.write(encode(request_line, [(b"host", host), (b"connection", b"close")], b""))
             head = await stream.next_event()
-    except FAILURES:
+    except CALL_ERRORS:
         return 0
     finally:
         if stream is not None:
--- a/covetally/membership/model.py
+++ b/covetally/membership/model.py
@@ -1,7 +1,7 @@
-"""What sources say, in one form: the seam between them and the module that believes them.
+"""The types that connect the sources to the membership view.
 
-A source (the platform's discovery, a Eureka registry, a file, later a key-value registry) keeps its own view of
-its own protocol and gives all of it as a `Read` each time it has learned something. It decides nothing about it.
+A source (the platform's discovery, a Eureka registry, a file, later a key-value registry) tracks the state of its
+own protocol and passes all of it on as a `Snapshot` after each update. It does not decide what to apply.
 """
 
 from __future__ import annotations
@@ -14,23 +14,24 @@
 
 UP, LEAVING, STARTING, DOWN = "up", "leaving", "starting", "down"
 STATES = (UP, LEAVING, STARTING, DOWN)
-"""`leaving`: finishes what it has, and its process lives on. `starting`, `down`: what comes back up is cold."""
+"""A `leaving` node finishes its requests, and its process lives on. After `starting` or `down` a node is cold."""
 
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """One node as a source lists it. `word` is the source's own word for its state.
+    """One node as a source lists it. `source_state` is the source's own name for its state.
 
-    Stamps are in ms and 0 where unknown. They are compared with stamps of the same clock only: `dirty` is by the
-    node's own clock (the same at every registry), `updated` and `registered` by that of the registry that told.
-    `boot` is a start that the node itself names. `started_ns` is when it started on this sidecar's clock, 0 for
-    long ago, -1 where the source cannot tell; it is no part of what is compared.
+    Timestamps are in ms, 0 if unknown, and comparable only with those of the same clock: `dirty` (the last
+    change of the node's own status) is by the node's clock and the same at every registry, `updated` and
+    `registered` are by the clock of the registry that answered. `boot` is the start time that the node itself
+    reports. `started_ns` is when it started on this sidecar's clock: 0 for long ago, -1 if the source cannot
+    tell; it is not compared.
     """
 
     id: str
     address: Address
     state: str = UP
-    word: str = ""
+    source_state: str = ""
     zone: str = ""
     kind: str = ""
     cell: int = 0
@@ -41,8 +42,8 @@
     boot: int = 0
     started_ns: int = field(default=-1, compare=False)
 
-    def same_node(self, other: Member) -> bool:
-        """Whether all that is told onwards is the same: stamps may differ."""
+    def same_properties(self, other: Member) -> bool:
+        """Whether everything that the balancer uses is equal; the other timestamps may differ."""
         return (
             self.address == other.address and self.state == other.state and self.zone == other.zone
             and self.kind == other.kind and self.cell == other.cell and self.weight == other.weight
@@ -51,22 +52,25 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Read:
-    """All that a source lists now. `teller` is which of its addresses said so, `bad` names the entries that
-    cannot be used and why, by id. With `clean` false the answer did not come whole: what it lists is true, what
-    it lacks says nothing."""
+class Snapshot:
+    """Everything that a source lists at one time.
+
+    `endpoint` is the address of the source that answered. `invalid` maps the ids of unusable entries to the
+    reason. If `complete` is false, part of the answer is missing: what it lists is valid, but a node that it
+    lacks may exist.
+    """
 
     source: str
-    teller: str
+    endpoint: str
     members: Mapping[str, Member]
     revision: str = ""
-    clean: bool = True
-    bad: Mapping[str, str] = field(default_factory=dict)
+    complete: bool = True
+    invalid: Mapping[str, str] = field(default_factory=dict)
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
-    """One node as the balancer and the connections are told: `lifecycle` is up, draining or removed."""
+class MemberUpdate:
+    """A node's new state for the balancer and the connections; `lifecycle` is up, draining or removed."""
 
     member: Member
     lifecycle: str
@@ -74,28 +78,31 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Rule:
-    """The figures of belief. `share`: a read that lacks more of the nodes than this is doubted. `hold_ns`: the
-    longest that anything is held against a source's word. `stale_ns`: without a clean read for so long, operators
-    are told that the list is old."""
+class ViewConfig:
+    """The parameters of the membership view.
+
+    max_missing_share: a read that lacks more than this share of the nodes is doubted.
+    hold_ns: the longest time for which the view may differ from its source.
+    stale_ns: the list is shown as stale to operators after this time without a complete read.
+    """
 
-    share: float = 0.25
+    max_missing_share: float = 0.25
     hold_ns: int = 30_000_000_000
     stale_ns: int = 30_000_000_000
 
 
 def to_table(member: Member) -> dict[str, Any]:
-    """For files and operators."""
+    """The member as a table, for the saved file."""
     host, port = member.address
     return {
-        "id": member.id, "host": host, "port": port, "state": member.state, "word": member.word,
+        "id": member.id, "host": host, "port": port, "state": member.state, "word": member.source_state,
         "zone": member.zone, "kind": member.kind, "cell": member.cell, "weight": member.weight,
         "dirty": member.dirty, "updated": member.updated, "registered": member.registered, "boot": member.boot,
     }  # fmt: skip
 
 
 def from_table(table: Any) -> Member:
-    """The member that a table holds; ValueError if it is none."""
+    """The member in a table; ValueError if the table does not describe one."""
     try:
         host, port, state = str(table["host"]), int(table["port"]), str(table["state"])
         member = Member(
@@ -106,5 +113,5 @@
     except (KeyError, TypeError) as error:
         raise ValueError(f"{type(error).__name__}: {error}") from None
     if not member.id or state not in STATES or not 0 < port < 65536:
-        raise ValueError(f"entry {member.id!r:.60}")
+        raise ValueError(f"invalid entry {member.id!r:.60}")
     return member
--- a/covetally/membership/persistence.py
+++ b/covetally/membership/persistence.py
@@ -1,6 +1,6 @@
-"""The file in which the last good roster outlives the process, for installations with a disk that lasts.
+"""The file that preserves the last good list of nodes across restarts, for installations with a persistent disk.
 
-One line of JSON with the SHA-256 of the rest, then the roster as JSON. It is replaced whole or not at all.
+The first line is JSON with the SHA-256 of the rest, which is the list as JSON. The file is replaced atomically.
 """
 
 from __future__ import annotations
@@ -14,32 +14,32 @@
 from covetally.operator import files
 
 FORMAT = 1
-MAX_FILE = 32 * 1024 * 1024
+MAX_FILE_BYTES = 32 * 1024 * 1024
 
 
 def encode(members: Sequence[Member], revision: str) -> bytes:
     """The file's content."""
     body = json.dumps({"revision": revision, "nodes": [to_table(m) for m in members]}, indent=1).encode()
-    head = {"format": FORMAT, "sha256": hashlib.sha256(body).hexdigest()}
-    return json.dumps(head).encode() + b"\n" + body
+    header = {"format": FORMAT, "sha256": hashlib.sha256(body).hexdigest()}
+    return json.dumps(header).encode() + b"\n" + body
 
 
 def decode(data: bytes) -> tuple[list[Member], str]:
-    """The roster and its revision; ValueError if the content is damaged or of another format."""
-    line, _, body = data.partition(b"\n")
+    """The nodes and their revision; ValueError if the content is damaged or has another format."""
+    header_line, _, body = data.partition(b"\n")
     try:
-        head = json.loads(line)
-        if head["format"] != FORMAT:
-            raise ValueError(f"format {head['format']!r}, not {FORMAT}")
-        if hashlib.sha256(body).hexdigest() != head["sha256"]:
-            raise ValueError("its checksum does not fit: damaged or cut off")
+        header = json.loads(header_line)
+        if header["format"] != FORMAT:
+            raise ValueError(f"format {header['format']!r}, not {FORMAT}")
+        if hashlib.sha256(body).hexdigest() != header["sha256"]:
+            raise ValueError("the checksum does not match: damaged or truncated")
         table = json.loads(body)
         return [from_table(node) for node in table["nodes"]], str(table["revision"])
     except (KeyError, TypeError, RecursionError) as error:
         raise ValueError(f"{type(error).__name__}: {error}") from None
 
 
-def read(path: Path) -> tuple[list[Member], str]:
-    """What the file holds, nothing where there is none; ValueError if it cannot be used."""
-    data = files.read(path, MAX_FILE)
+def load(path: Path) -> tuple[list[Member], str]:
+    """The nodes and the revision in the file, empty if there is no file; ValueError if it cannot be used."""
+    data = files.read(path, MAX_FILE_BYTES)
     return ([], "") if data is None else decode(data)
--- a/covetally/membership/platform.py
+++ b/covetally/membership/platform.py
@@ -1,4 +1,4 @@
-"""The platform's discovery as a source of nodes: its news added up to a list."""
+"""The platform's discovery as a source of nodes: combines its incremental updates into a list."""
 
 from __future__ import annotations
 
@@ -6,57 +6,64 @@
 from typing import Any
 
 from covetally.interface import Settings
-from covetally.membership.model import LEAVING, UP, Member, Read
+from covetally.membership.model import LEAVING, UP, Member, Snapshot
 from covetally.net.discovery import Discovery
 from covetally.net.server_list import ListUpdate
 
-WORDS = {"up": (UP, "active"), "draining": (LEAVING, "leaving")}
+LIFECYCLE_STATES = {"up": (UP, "active"), "draining": (LEAVING, "leaving")}
 
 
-class Platform:
-    """What `Discovery` has told since it was asked for the whole list."""
+class PlatformSource:
+    """The list that results from the updates of `Discovery` since it was last asked for the full list."""
 
     name = "platform"
 
-    def __init__(self, settings: Settings, discovery: Discovery, on_read: Callable[[Read], None]) -> None:
-        self._settings, self._discovery, self._on_read = settings, discovery, on_read
+    def __init__(self, settings: Settings, discovery: Discovery, on_snapshot: Callable[[Snapshot], None]) -> None:
+        self._settings, self._discovery, self._on_snapshot = settings, discovery, on_snapshot
         self._members: dict[str, Member] = {}
-        self._whole = False
-        self._news = 0
+        self._received_full = False
+        self._update_count = 0
 
     def start(self) -> None:
-        """Watch from now on, beginning with the whole list."""
-        self._discovery.on_list = self.learn
+        """Starts watching, beginning with the full list."""
+        self._discovery.on_list = self.apply_update
         self._discovery.again()
 
     def stop(self) -> None:
-        """Watch no more."""
+        """Stops watching."""
         self._discovery.stop()
 
-    def learn(self, news: ListUpdate) -> None:
-        """One answer of discovery."""
-        members = {} if news.whole else dict(self._members)
+    def apply_update(self, update: ListUpdate) -> None:
+        """Applies one answer of discovery."""
+        members = {} if update.whole else dict(self._members)
         zones, kinds = self._settings.zones, self._settings.kinds
-        for entry, address in news.entries:
+        for entry, address in update.entries:
             if entry.lifecycle == "removed":
                 members.pop(entry.server, None)
                 continue
-            state, word = WORDS[entry.lifecycle]
+            state, source_state = LIFECYCLE_STATES[entry.lifecycle]
             members[entry.server] = Member(
-                entry.server, address, state, word, _named(zones, entry.zone), _named(kinds, entry.kind),
+                entry.server, address, state, source_state,
+                _name_at(zones, entry.zone), _name_at(kinds, entry.kind),
                 entry.cell, entry.weight, boot=entry.started_ns // 1_000_000, started_ns=entry.started_ns,
             )  # fmt: skip
-        self._members, self._whole, self._news = members, self._whole or news.whole, self._news + 1
-        self._on_read(Read(self.name, self.name, members, f"{self.name} #{self._news}", self._whole))
+        self._members, self._received_full, self._update_count = (
+            members,
+            self._received_full or update.whole,
+            self._update_count + 1,
+        )
+        self._on_snapshot(
+            Snapshot(self.name, self.name, members, f"{self.name} #{self._update_count}", self._received_full)
+        )
 
     def table(self) -> dict[str, Any]:
-        """For operators."""
-        return {"source": self.name, "failing": "", "counts": {"news": self._news}}
+        """The state of the source as a table for operators."""
+        return {"source": self.name, "failing": "", "counts": {"news": self._update_count}}
 
-    async def witness(self, besides: str) -> Read | None:
-        """The platform has no second address."""
+    async def read_other_address(self, excluding: str) -> Snapshot | None:
+        """None: the platform has no second address."""
         return None
 
 
-def _named(names: tuple[str, ...], index: int) -> str:
+def _name_at(names: tuple[str, ...], index: int) -> str:
     return names[index] if index < len(names) else ""
--- a/covetally/membership/service.py
+++ b/covetally/membership/service.py
@@ -1,7 +1,7 @@
-"""Joins the sources to the believing module, and tells the balancer and the connections what is believed.
+"""Connects the sources to the membership view, and passes its updates to the balancer and the connections.
 
-Nothing is decided here: `belief` says which nodes there are, `hung` who does not answer, the balancer who gets
-work.
+This module decides nothing: `membership_view` decides which nodes exist, `unresponsive` which of them do not
+answer, and the balancer which of them get requests.
 """
 
 from __future__ import annotations
@@ -13,16 +13,16 @@
 from dataclasses import dataclass
 from typing import Any, Protocol
 
-from covetally.interface import ServerStatus, ServerEntry, AttemptStatus, Settings
+from covetally.interface import AttemptStatus, ServerEntry, ServerStatus, Settings
 from covetally.membership import persistence
-from covetally.membership.membership_view import ORDERS, Believer, differences
-from covetally.membership.active_checks import Checks
-from covetally.membership.eureka.client import Eureka
-from covetally.membership.file import File
-from covetally.membership.unresponsive import Hung
-from covetally.membership.model import LEAVING, UP, Address, Member, Read, Told
-from covetally.membership.platform import Platform
-from covetally.membership.settings import Plan
+from covetally.membership.membership_view import COMMANDS, MembershipView, differences
+from covetally.membership.active_checks import ActiveChecks
+from covetally.membership.eureka.client import EurekaSource
+from covetally.membership.file import FileSource
+from covetally.membership.unresponsive import UnresponsiveNodes
+from covetally.membership.model import LEAVING, UP, Address, Member, MemberUpdate, Snapshot
+from covetally.membership.platform import PlatformSource
+from covetally.membership.settings import MembershipConfig
 from covetally.net.clock import Clock
 from covetally.net.discovery import Discovery
 from covetally.net.server_list import ListUpdate
@@ -30,284 +30,306 @@
 
 log = logging.getLogger(__name__)
 
-FIRST_S = 3.0
-KEEP_AGAIN_S = 2.0  # until what the disk did not take is written again
-LOOK_S = 0.5  # how often time and evidence are looked at
-HEARD = (AttemptStatus.OK, AttemptStatus.ERROR, AttemptStatus.FULL, AttemptStatus.UNUSABLE_RESPONSE)
+INITIAL_WAIT_S = 3.0
+SAVE_RETRY_S = 2.0  # between attempts to save the list after a disk error
+TICK_S = 0.5  # how often held nodes, the status and unsaved changes are checked
+RESPONSIVE_STATUSES = (AttemptStatus.OK, AttemptStatus.ERROR, AttemptStatus.FULL, AttemptStatus.UNUSABLE_RESPONSE)
 
 
 class Source(Protocol):
-    """What says which nodes there are; its reads go to the function it was made with."""
+    """A source of nodes. It passes each snapshot to the callback that it was created with."""
 
     name: str
 
     def start(self) -> None:
-        """Ask from now on."""
+        """Starts reading."""
 
     def stop(self) -> None:
-        """Ask no more."""
+        """Stops reading."""
 
     def table(self) -> dict[str, Any]:
-        """For operators."""
+        """The state of the source as a table for operators."""
 
-    async def witness(self, besides: str) -> Read | None:
-        """What another of its addresses lists, if it has one."""
+    async def read_other_address(self, excluding: str) -> Snapshot | None:
+        """Reads an address other than `excluding`; None if there is none or it does not answer."""
 
 
 @dataclass(frozen=True, slots=True)
-class Parts:
-    """What a sidecar lends to its roster: `tell` takes changes for the connections and the balancer, `beliefs`
-    is what the balancer believes of each server, `suspect` tells it of one that does not answer."""
+class MembershipDependencies:
+    """What the service needs from its sidecar.
+
+    `apply_updates` passes changes to the connections and the balancer, `server_statuses` returns the balancer's
+    status of each server, and `report_unresponsive` tells the balancer that a server does not answer.
+    """
 
     clock: Clock
     discovery: Discovery
-    tell: Callable[[list[tuple[ServerEntry, Address]]], None]
-    beliefs: Callable[[], list[ServerStatus]]
-    suspect: Callable[[str], None]
+    apply_updates: Callable[[list[tuple[ServerEntry, Address]]], None]
+    server_statuses: Callable[[], list[ServerStatus]]
+    report_unresponsive: Callable[[str], None]
 
 
-class Roster:
-    """One sidecar's roster, from `start` to `stop`."""
+class MembershipService:
+    """Maintains one sidecar's list of nodes from `start` to `stop`."""
 
-    def __init__(self, plan: Plan, settings: Settings, parts: Parts) -> None:
-        self._plan, self._settings, self._parts = plan, settings, parts
-        self._believer = Believer(plan.rule, parts.clock.now())
-        self._hung = Hung()
+    def __init__(
+        self, config: MembershipConfig, settings: Settings, dependencies: MembershipDependencies
+    ) -> None:
+        self._config, self._settings, self._dependencies = config, settings, dependencies
+        self._view = MembershipView(config.view, dependencies.clock.now())
+        self._unresponsive = UnresponsiveNodes()
         self._source: Source
-        self._other: Source | None = None
-        self._differs: dict[str, list[str]] | None = None
-        self._checks: Checks | None = None
+        self._compare_source: Source | None = None
+        self._differences: dict[str, list[str]] | None = None
+        self._checks: ActiveChecks | None = None
         self._timer: asyncio.TimerHandle | None = None
-        self._asking: asyncio.Task[None] | None = None
-        self._saving: asyncio.Task[None] | None = None
+        self._confirmation: asyncio.Task[None] | None = None
+        self._save_task: asyncio.Task[None] | None = None
         self._unsaved = False
-        self._save_from = 0.0  # on the loop's clock: no sooner, where the disk has just refused
-        self._cannot_keep = False
-        self._level = ""
-        self._silent: set[str] = set()
+        self._save_not_before = 0.0  # on the event loop's clock; set after a disk error
+        self._save_failed = False
+        self._status = ""
+        self._logged_unresponsive: set[str] = set()
         self._running = False
 
-    # --- before and after -------------------------------------------------------------------------
+    # --- start and stop ---------------------------------------------------------------------------
 
-    def begin(self, listed: list[tuple[str, Address]], up: set[str]) -> None:
-        """Take over from the platform's list, which is in force: what a new source lacks of it is doubted."""
+    def adopt_platform_list(self, listed: list[tuple[str, Address]], up: set[str]) -> None:
+        """Takes over the platform's list that is in use: nodes that the new source lacks are then doubted."""
         members = [Member(name, address, UP if name in up else LEAVING) for name, address in listed]
-        self._believer.kept(self._parts.clock.now(), members, "the platform's list")
+        self._view.restore(self._dependencies.clock.now(), members, "the platform's list")
+
+    def restore(self, known: ListUpdate) -> None:
+        """Loads the last known nodes when the process starts.
 
-    def recall(self, known: ListUpdate) -> None:
-        """At the start of the process: the kept file, or else, where the platform is the source, what it knew."""
-        if self._plan.keep is not None:
+        They come from the saved file or, where the platform is the source, from the list that it had saved.
+        """
+        if self._config.save_path is not None:
             try:
-                members, revision = persistence.read(self._plan.keep)
+                members, revision = persistence.load(self._config.save_path)
             except ValueError as error:
-                log.error("roster.keep: %s: %s: starting without it", self._plan.keep, error)
+                log.error("roster.keep: %s: %s: starting without it", self._config.save_path, error)
                 members, revision = [], ""
             if members:
                 log.info("the kept roster has %d nodes of revision %s", len(members), revision)
-                self._tell(self._believer.kept(self._parts.clock.now(), members, revision))
+                self._publish(self._view.restore(self._dependencies.clock.now(), members, revision))
                 return
-        if self._plan.source == Platform.name and known.entries:
+        if self._config.source == PlatformSource.name and known.entries:
             started = {entry.server: entry.started_ns for entry, _ in known.entries}
-            reads: list[Read] = []
-            Platform(self._settings, self._parts.discovery, reads.append).learn(known._replace(whole=True))
-            told = self._believer.kept(self._parts.clock.now(), reads[0].members.values(), "the platform's known")
-            self._tell([Told(t.member, t.lifecycle, started[t.member.id]) for t in told])
+            snapshots: list[Snapshot] = []
+            PlatformSource(self._settings, self._dependencies.discovery, snapshots.append).apply_update(
+                known._replace(whole=True)
+            )
+            updates = self._view.restore(
+                self._dependencies.clock.now(), snapshots[0].members.values(), "the platform's known"
+            )
+            self._publish([MemberUpdate(u.member, u.lifecycle, started[u.member.id]) for u in updates])
 
     @property
-    def asks_platform(self) -> bool:
-        """Whether the platform's discovery is one of the sources."""
-        return Platform.name in (self._plan.source, self._plan.compare)
+    def uses_platform(self) -> bool:
+        """Whether the platform's discovery is the active or the compared source."""
+        return PlatformSource.name in (self._config.source, self._config.compare)
 
     def start(self) -> None:
-        """Ask the sources from now on."""
+        """Starts reading the sources."""
         self._running = True
         self._open()
-        self._look()
+        self._tick()
 
-    async def first(self) -> None:
-        """Until there is a roster to serve on; a source that is down is not waited for longer than FIRST_S."""
+    async def wait_for_nodes(self) -> None:
+        """Waits for the first nodes, at most INITIAL_WAIT_S: a source that is down must not block the start."""
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(FIRST_S):
-                while not self._believer.nodes:
+            async with asyncio.timeout(INITIAL_WAIT_S):
+                while not self._view.nodes:
                     await asyncio.sleep(0.01)
 
     def stop(self) -> None:
-        """Ask no more. What is believed stays with whoever was told."""
+        """Stops reading the sources. The balancer and the connections keep the last list."""
         self._running = False
         self._close()
-        for task in (self._timer, self._asking):
+        for task in (self._timer, self._confirmation):
             if task is not None:
                 task.cancel()
 
-    async def saved(self) -> None:
-        """Until the last good roster is in its file."""
-        if self._saving is not None:
-            await self._saving
+    async def flush(self) -> None:
+        """Waits until the latest list has been saved."""
+        if self._save_task is not None:
+            await self._save_task
         if self._unsaved:
             self._unsaved = False
             await self._save()
 
-    def retune(self, plan: Plan, settings: Settings) -> None:
-        """Other settings under way. The roster stays as it is until the new source says otherwise."""
+    def apply_settings(self, config: MembershipConfig, settings: Settings) -> None:
+        """Applies changed settings. The list stays as it is until the new source reports something else."""
         self._settings = settings
-        if plan == self._plan:
+        if config == self._config:
             return
-        log.info("the roster comes from %s", plan.source)
+        log.info("the roster comes from %s", config.source)
         self._close()
-        self._plan = plan
-        self._believer.rule = plan.rule
+        self._config = config
+        self._view.config = config.view
         if self._running:
             self._open()
 
     def _open(self) -> None:
-        self._source = self._made(self._plan.source, self._learn)
-        if self._plan.compare != "none":
-            self._other = self._made(self._plan.compare, self._compare)
-        for source in (self._source, self._other):
+        self._source = self._create_source(self._config.source, self._on_snapshot)
+        if self._config.compare != "none":
+            self._compare_source = self._create_source(self._config.compare, self._compare)
+        for source in (self._source, self._compare_source):
             if source is not None:
                 source.start()
-        if self._plan.check_path:
-            self._checks = Checks(self._plan, self._settings, self._addresses, self._checked)
+        if self._config.check_path:
+            self._checks = ActiveChecks(self._config, self._settings, self._addresses, self._on_check)
             self._checks.start()
 
     def _close(self) -> None:
-        for part in (self._source, self._other, self._checks):
+        for part in (self._source, self._compare_source, self._checks):
             if part is not None:
                 part.stop()
-        self._other = self._checks = self._differs = None
+        self._compare_source = self._checks = self._differences = None
 
-    def _made(self, name: str, on_read: Callable[[Read], None]) -> Source:
-        plan, parts = self._plan, self._parts
-        if name == Eureka.name:
-            assert plan.eureka is not None
-            return Eureka(plan.eureka, parts.clock, on_read)
-        if name == File.name:
-            return File(plan.file, on_read)
-        return Platform(self._settings, parts.discovery, on_read)
+    def _create_source(self, name: str, on_snapshot: Callable[[Snapshot], None]) -> Source:
+        config, dependencies = self._config, self._dependencies
+        if name == EurekaSource.name:
+            assert config.eureka is not None
+            return EurekaSource(config.eureka, dependencies.clock, on_snapshot)
+        if name == FileSource.name:
+            return FileSource(config.file, on_snapshot)
+        return PlatformSource(self._settings, dependencies.discovery, on_snapshot)
 
-    # --- what comes in ----------------------------------------------------------------------------
+    # --- input ------------------------------------------------------------------------------------
 
-    def _learn(self, read: Read) -> None:
-        self._tell(self._believer.read(self._parts.clock.now(), read))
-        self._doubt()
+    def _on_snapshot(self, snapshot: Snapshot) -> None:
+        self._publish(self._view.apply_snapshot(self._dependencies.clock.now(), snapshot))
+        self._request_confirmation()
 
-    def _doubt(self) -> None:
-        """Where nodes are held, other evidence is sought at once."""
-        if self._believer.held() and self._asking is None and self._running:
-            self._asking = asyncio.create_task(self._ask_elsewhere())
+    def _request_confirmation(self) -> None:
+        """Reads another address of the source if nodes are held and no such read is running."""
+        if self._view.held_nodes() and self._confirmation is None and self._running:
+            self._confirmation = asyncio.create_task(self._query_other_address())
 
-    async def _ask_elsewhere(self) -> None:
+    async def _query_other_address(self) -> None:
         try:
-            read = await self._source.witness(self._believer.teller)
-            if read is not None:
-                self._tell(self._believer.witness(self._parts.clock.now(), read))
+            snapshot = await self._source.read_other_address(self._view.endpoint)
+            if snapshot is not None:
+                self._publish(self._view.confirm_removals(self._dependencies.clock.now(), snapshot))
         finally:
-            self._asking = None
-
-    def _compare(self, read: Read) -> None:
-        differs = differences(self._believer.roster(), read)
-        if differs != self._differs:
-            found = {name: lines[:10] for name, lines in differs.items() if lines}
-            log.warning("%s differs from %s: %s", read.source, self._plan.source, found or "no more")
-        self._differs = differs
-
-    def outcome(self, server: str, how: AttemptStatus) -> None:
-        """An attempt has ended."""
-        if how in HEARD:
-            self._hung.answered(server)
-        elif how is AttemptStatus.TIMEOUT and self._hung.timed_out(self._parts.clock.now(), server):
-            self._parts.suspect(server)
-
-    def _checked(self, server: str, good: bool) -> None:
-        if self._hung.checked(self._parts.clock.now(), server, good):
-            self._parts.suspect(server)
-
-    def order(self, word: str) -> str:
-        """An operator's word: believe, hold or auto; empty, or why it cannot be taken."""
-        if word not in ORDERS:
-            return f"nothing is known as {word:.40}"
-        self._tell(self._believer.order(self._parts.clock.now(), word))
-        log.info("roster: %s, at an operator's word", word)
+            self._confirmation = None
+
+    def _compare(self, snapshot: Snapshot) -> None:
+        differing = differences(self._view.current_updates(), snapshot)
+        if differing != self._differences:
+            found = {name: lines[:10] for name, lines in differing.items() if lines}
+            log.warning("%s differs from %s: %s", snapshot.source, self._config.source, found or "no longer")
+        self._differences = differing
+
+    def record_outcome(self, server: str, status: AttemptStatus) -> None:
+        """Records the outcome of an attempt, which shows whether its server answers."""
+        if status in RESPONSIVE_STATUSES:
+            self._unresponsive.record_answer(server)
+        elif status is AttemptStatus.TIMEOUT and self._unresponsive.record_timeout(
+            self._dependencies.clock.now(), server
+        ):
+            self._dependencies.report_unresponsive(server)
+
+    def _on_check(self, server: str, answered: bool) -> None:
+        if self._unresponsive.record_check(self._dependencies.clock.now(), server, answered):
+            self._dependencies.report_unresponsive(server)
+
+    def apply_command(self, command: str) -> str:
+        """Applies an operator's command (believe, hold or auto); returns the error, empty if there is none."""
+        if command not in COMMANDS:
+            return f"unknown command {command:.40}"
+        self._publish(self._view.apply_command(self._dependencies.clock.now(), command))
+        log.info("roster: %s, ordered by an operator", command)
         return ""
 
-    def _look(self) -> None:
-        self._timer = asyncio.get_running_loop().call_later(LOOK_S, self._look)
-        now, believer = self._parts.clock.now(), self._believer
-        if believer.held():
-            refusing = [b.server for b in self._parts.beliefs() if b.connect_failures and not b.steps]
-            self._tell([*believer.evidence(now, refusing), *believer.tick(now)])
-            self._doubt()
-        level = believer.level(now)
-        if level.word != self._level:
+    def _tick(self) -> None:
+        self._timer = asyncio.get_running_loop().call_later(TICK_S, self._tick)
+        now, view = self._dependencies.clock.now(), self._view
+        if view.held_nodes():
+            unreachable = [
+                s.server for s in self._dependencies.server_statuses() if s.connect_failures and not s.steps
+            ]
+            self._publish([*view.remove_unreachable(now, unreachable), *view.tick(now)])
+            self._request_confirmation()
+        status = view.status(now)
+        if status.name != self._status:
             log.log(
-                logging.INFO if level.word in ("fresh", "none") else logging.WARNING,
-                "roster %s: %s", level.word, level.why or f"{len(believer.nodes)} nodes",
+                logging.INFO if status.name in ("fresh", "none") else logging.WARNING,
+                "roster %s: %s", status.name, status.reason or f"{len(view.nodes)} nodes",
             )  # fmt: skip
-            self._level = level.word
-        silent = set(self._hung.silent(now))
-        for name in sorted(silent - self._silent):
+            self._status = status.name
+        unresponsive = set(self._unresponsive.unresponsive(now))
+        for name in sorted(unresponsive - self._logged_unresponsive):
             log.warning("%s is registered but not answering", name)
-        self._silent = silent
-        if self._unsaved and self._saving is None and asyncio.get_running_loop().time() >= self._save_from:
+        self._logged_unresponsive = unresponsive
+        if (
+            self._unsaved
+            and self._save_task is None
+            and asyncio.get_running_loop().time() >= self._save_not_before
+        ):
             self._unsaved = False
-            self._saving = asyncio.create_task(self._save())
+            self._save_task = asyncio.create_task(self._save())
 
-    # --- what goes out ----------------------------------------------------------------------------
+    # --- output -----------------------------------------------------------------------------------
 
-    def _tell(self, told: list[Told]) -> None:
-        if not told:
+    def _publish(self, updates: list[MemberUpdate]) -> None:
+        if not updates:
             return
         zones, kinds = self._settings.zones, self._settings.kinds
         entries = [
             (
                 ServerEntry(
-                    t.member.id, _index(zones, t.member.zone), _index(kinds, t.member.kind), t.member.cell,
-                    t.lifecycle, t.member.weight, t.started_ns,
+                    u.member.id, _index_of(zones, u.member.zone), _index_of(kinds, u.member.kind), u.member.cell,
+                    u.lifecycle, u.member.weight, u.started_ns,
                 ),
-                t.member.address,
+                u.member.address,
             )
-            for t in told
+            for u in updates
         ]  # fmt: skip
-        self._parts.tell(entries)
-        self._hung.forget(self._believer.nodes)
-        self._unsaved = self._plan.keep is not None
+        self._dependencies.apply_updates(entries)
+        self._unresponsive.retain(self._view.nodes)
+        self._unsaved = self._config.save_path is not None
 
     def _addresses(self) -> dict[str, Address]:
-        nodes = self._believer.nodes.items()
+        nodes = self._view.nodes.items()
         return {name: node.member.address for name, node in nodes if node.member.state == UP}
 
     async def _save(self) -> None:
-        believer, path = self._believer, self._plan.keep
+        view, path = self._view, self._config.save_path
         try:
-            if path is not None and believer.nodes:
-                members = [node.member for node in believer.nodes.values()]
-                data = persistence.encode(members, believer.revision)
+            if path is not None and view.nodes:
+                members = [node.member for node in view.nodes.values()]
+                data = persistence.encode(members, view.revision)
                 await asyncio.to_thread(files.replace, path, data)
         except OSError as error:
-            if not self._cannot_keep:
-                log.error("roster.keep: %s: %s: make room on the disk or mend it", path, error)
-            self._cannot_keep = self._unsaved = True
-            self._save_from = asyncio.get_running_loop().time() + KEEP_AGAIN_S
+            if not self._save_failed:
+                log.error("roster.keep: %s: %s: make room on the disk or repair it", path, error)
+            self._save_failed = self._unsaved = True
+            self._save_not_before = asyncio.get_running_loop().time() + SAVE_RETRY_S
         else:
-            self._cannot_keep = False
+            self._save_failed = False
         finally:
-            self._saving = None
+            self._save_task = None
 
-    def brief(self) -> dict[str, Any]:
-        """What goes with every heartbeat."""
-        level = self._believer.level(self._parts.clock.now())
-        return {"level": level.word, "why": level.why, "nodes": len(self._believer.nodes)}
+    def heartbeat_summary(self) -> dict[str, Any]:
+        """The summary that is sent with every heartbeat."""
+        status = self._view.status(self._dependencies.clock.now())
+        return {"level": status.name, "why": status.reason, "nodes": len(self._view.nodes)}
 
     def table(self) -> dict[str, Any]:
-        """All there is to tell, for operators."""
-        now = self._parts.clock.now()
-        table = self._believer.table(now)
-        table["sources"] = [s.table() for s in (self._source, self._other) if s is not None]
-        table["differs"] = self._differs
-        table["silent"] = {name: round(ns / 1e9, 1) for name, ns in sorted(self._hung.silent(now).items())}
+        """The view, the sources and the unresponsive nodes as a table for operators."""
+        now = self._dependencies.clock.now()
+        table = self._view.table(now)
+        table["sources"] = [s.table() for s in (self._source, self._compare_source) if s is not None]
+        table["differs"] = self._differences
+        table["silent"] = {
+            name: round(ns / 1e9, 1) for name, ns in sorted(self._unresponsive.unresponsive(now).items())
+        }
         table["checks"] = self._checks.table() if self._checks is not None else None
         return table
 
 
-def _index(names: tuple[str, ...], name: str) -> int:
+def _index_of(names: tuple[str, ...], name: str) -> int:
     return names.index(name) if name in names else len(names)
--- a/covetally/membership/settings.py
+++ b/covetally/membership/settings.py
@@ -1,4 +1,4 @@
-"""What the operators' settings ask of membership, checked as far as files and extras go."""
+"""Builds the configuration of membership from the operators' settings; checks the files and extras they need."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 from pathlib import Path
 
 from covetally.membership import file
-from covetally.membership.eureka.client import Config
-from covetally.membership.eureka.instance_parser import Keys
-from covetally.membership.http import credentials
-from covetally.membership.model import Rule
+from covetally.membership.eureka.client import EurekaConfig
+from covetally.membership.eureka.instance_parser import MetadataKeys
+from covetally.membership.http import read_credentials
+from covetally.membership.model import ViewConfig
 from covetally.operator.check import OperatorError, Problem
 from covetally.operator.schema import Value
 from covetally.operator.url import split_url
@@ -20,53 +20,56 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Plan:
-    """Which source is served from, which is compared with it, and the figures of belief and checks."""
+class MembershipConfig:
+    """The active and the compared source, and the parameters of the view and of active checks."""
 
     source: str
     compare: str
-    rule: Rule
-    eureka: Config | None
+    view: ViewConfig
+    eureka: EurekaConfig | None
     file: str
-    keep: Path | None
+    save_path: Path | None
     check_path: str
     checks_per_node_s: float
 
 
-def wanted(values: Mapping[str, Value]) -> bool:
-    """Whether the settings ask for a roster of our own at all."""
+def is_enabled(values: Mapping[str, Value]) -> bool:
+    """Whether the settings name a source; otherwise the platform's list is used directly."""
     return values.get("roster.source", "off") != "off"
 
 
-def plan(values: Mapping[str, Value]) -> Plan:
-    """The plan; OperatorError with the key where a file cannot be read or an extra is not installed."""
+def membership_config(values: Mapping[str, Value]) -> MembershipConfig:
+    """The configuration of membership.
+
+    Raises OperatorError with the key if a file cannot be read or an extra is not installed.
+    """
     source, compare = str(values.get("roster.source", "off")), str(values.get("roster.compare", "none"))
     path = str(values.get("roster.file", ""))
     if "file" in (source, compare):
         try:
-            file.load(path)
-        except file.FileError as error:
+            file.load_nodes(path)
+        except file.NodeFileError as error:
             raise OperatorError([Problem("roster.file", path, str(error))]) from None
     hold_s = float(values.get("roster.hold_s", 30))
     poll_s = float(values.get("eureka.poll_s", 5))
-    return Plan(
+    return MembershipConfig(
         source=source,
         compare=compare,
-        rule=Rule(
-            share=float(values.get("roster.share", 0.25)),
+        view=ViewConfig(
+            max_missing_share=float(values.get("roster.share", 0.25)),
             hold_ns=int(hold_s * SECOND),
             stale_ns=int(max(10.0, 4 * poll_s) * SECOND),
         ),
-        eureka=eureka(values) if "eureka" in (source, compare) else None,
+        eureka=eureka_config(values) if "eureka" in (source, compare) else None,
         file=path,
-        keep=Path(str(values["roster.keep"])) if "roster.keep" in values else None,
+        save_path=Path(str(values["roster.keep"])) if "roster.keep" in values else None,
         check_path=str(values.get("roster.check_path", "")),
         checks_per_node_s=float(values.get("roster.checks_per_node_s", 1)),
     )
 
 
-def eureka(values: Mapping[str, Value]) -> Config:
-    """How a registry is asked."""
+def eureka_config(values: Mapping[str, Value]) -> EurekaConfig:
+    """The configuration of the Eureka source."""
     form = str(values.get("eureka.format", "json"))
     if form == "xml" and find_spec("defusedxml") is None:
         remedy = "pip install '.[eureka]'"
@@ -76,25 +79,25 @@
         "kind": str(values.get("eureka.metadata.machine_type", "")),
         "started": str(values.get("eureka.metadata.started", "")),
     }
-    return Config(
+    return EurekaConfig(
         addresses=tuple(split_url(part) for part in str(values["eureka.addresses"]).split(",")),
         name=str(values.get("eureka.name", "")),
-        by=str(values.get("eureka.read", "app")),
+        scope=str(values.get("eureka.read", "app")),
         poll_s=float(values.get("eureka.poll_s", 5)),
         timeout_s=float(values.get("eureka.timeout_s", 3)),
-        form=form,
-        most=int(values.get("eureka.max_mib", 32)) * 1024 * 1024,
-        authorization=authorization(values),
-        keys=Keys(**{name: value for name, value in names.items() if value}),
+        format=form,
+        max_bytes=int(values.get("eureka.max_mib", 32)) * 1024 * 1024,
+        authorization=read_authorization(values),
+        keys=MetadataKeys(**{name: value for name, value in names.items() if value}),
     )
 
 
-def authorization(values: Mapping[str, Value]) -> bytes:
-    """The registry's credentials, empty where there are none."""
+def read_authorization(values: Mapping[str, Value]) -> bytes:
+    """The registry's Authorization header value, empty if no credentials are set."""
     if "eureka.credentials_file" not in values:
         return b""
     path = str(values["eureka.credentials_file"])
     try:
-        return credentials(path)
+        return read_credentials(path)
     except (OSError, ValueError) as error:
         raise OperatorError([Problem("eureka.credentials_file", path, str(error))]) from None
--- a/covetally/membership/unresponsive.py
+++ b/covetally/membership/unresponsive.py
@@ -1,17 +1,18 @@
-"""Which listed nodes do not answer, from this sidecar's own evidence. No I/O; times are ns on one clock.
-
-    evidence                                         verdict
-    --------                                         -------
-    any answer, also an error or a refusal           it answers
-    SILENT time-outs in a row with none between,     suspect: the balancer is told once, and its own trials bring
-      over SPAN_NS at least                          the node back
-    FAILED_CHECKS active checks in a row failed      the same
-    a failed connection                              nothing: the balancer judges those itself
-
-A node that is hung goes on renewing its lease, and its kernel goes on taking connections: neither the registry
-nor a connection tells. Guards against exactly that; it ought to catch a stopped process, a dead-locked one and
-one whose disk is gone. It could do harm with a node that is slow but serves: any answer ends the row, and the
-balancer keeps half of its nodes whatever is told here.
+"""Detects listed nodes that do not answer to this sidecar. No I/O; times are ns on one clock.
+
+    observation                                      result
+    -----------                                      ------
+    any answer, also an error or a refusal           the node answers
+    MIN_TIMEOUTS timeouts without an answer between  unresponsive: reported to the balancer, whose probes bring it
+      them, over at least MIN_SPAN_NS                back; each further timeout reports it again
+    MIN_FAILED_CHECKS failed active checks without   the same
+      an answer between them
+    a failed connection                              nothing: the balancer handles those itself
+
+A hung node keeps renewing its lease, and its kernel keeps accepting connections, so neither the registry nor a
+connection reveals it. This detects a stopped or deadlocked process, or one whose disk is gone. It must not harm
+a node that is slow but serves: any answer starts the count anew, and the balancer keeps half of its nodes
+whatever is reported here.
 """
 
 from __future__ import annotations
@@ -19,73 +20,74 @@
 from collections.abc import Collection, Iterator
 from dataclasses import dataclass
 
-SILENT = 3
-SPAN_NS = 300_000_000
-FAILED_CHECKS = 2
+MIN_TIMEOUTS = 3
+MIN_SPAN_NS = 300_000_000
+MIN_FAILED_CHECKS = 2
 
 
 @dataclass(slots=True)
-class _Row:
-    """Time-outs or failed checks since the last answer."""
+class _FailureRecord:
+    """The timeouts and failed checks of a node since its last answer."""
 
     timeouts: int = 0
-    checks: int = 0
+    failed_checks: int = 0
     since: int = 0
-    told: bool = False
+    reported: bool = False
 
 
-class Hung:
-    """The nodes that a sidecar has waited for in vain. Only those that did not answer of late are kept."""
+class UnresponsiveNodes:
+    """Counts timeouts and failed checks per node. Keeps records only of nodes that did not answer last time."""
 
     def __init__(self) -> None:
-        self._rows: dict[str, _Row] = {}
-
-    def answered(self, node: str) -> None:
-        """It said something."""
-        self._rows.pop(node, None)
-
-    def timed_out(self, now: int, node: str) -> bool:
-        """An attempt there was given up with nothing heard; whether the balancer is to be told now."""
-        row = self._rows.setdefault(node, _Row(since=now))
-        row.timeouts += 1
-        return self._verdict(row, row.timeouts >= SILENT and now - row.since >= SPAN_NS)
-
-    def checked(self, now: int, node: str, good: bool) -> bool:
-        """An active check ended; whether the balancer is to be told now."""
-        if good:
-            self.answered(node)
+        self._records: dict[str, _FailureRecord] = {}
+
+    def record_answer(self, node: str) -> None:
+        """Any answer of the node, also an error."""
+        self._records.pop(node, None)
+
+    def record_timeout(self, now: int, node: str) -> bool:
+        """An attempt ended without an answer; returns whether to report the node to the balancer."""
+        record = self._records.setdefault(node, _FailureRecord(since=now))
+        record.timeouts += 1
+        return self._mark_reported(record, record.timeouts >= MIN_TIMEOUTS and now - record.since >= MIN_SPAN_NS)
+
+    def record_check(self, now: int, node: str, answered: bool) -> bool:
+        """An active check ended; returns whether to report the node to the balancer."""
+        if answered:
+            self.record_answer(node)
             return False
-        row = self._rows.setdefault(node, _Row(since=now))
-        row.checks += 1
-        return self._verdict(row, row.checks >= FAILED_CHECKS)
+        record = self._records.setdefault(node, _FailureRecord(since=now))
+        record.failed_checks += 1
+        return self._mark_reported(record, record.failed_checks >= MIN_FAILED_CHECKS)
 
     @staticmethod
-    def _verdict(row: _Row, suspect: bool) -> bool:
-        # Once more with each further one: it may have come back by a trial, and be silent again.
-        row.told = row.told or suspect
-        return suspect
+    def _mark_reported(record: _FailureRecord, is_unresponsive: bool) -> bool:
+        # Each further failure reports the node again: a probe may have brought it back in the meantime.
+        record.reported = record.reported or is_unresponsive
+        return is_unresponsive
 
-    def forget(self, listed: Collection[str]) -> None:
-        """Only these are listed now."""
-        self._rows = {name: row for name, row in self._rows.items() if name in listed}
+    def retain(self, listed: Collection[str]) -> None:
+        """Drops the records of nodes that are no longer listed."""
+        self._records = {name: record for name, record in self._records.items() if name in listed}
 
-    def silent(self, now: int) -> dict[str, int]:
-        """The suspects, and for how many ns they have not answered."""
-        return {name: now - row.since for name, row in self._rows.items() if row.told}
+    def unresponsive(self, now: int) -> dict[str, int]:
+        """The unresponsive nodes, and for how many ns they have not answered."""
+        return {name: now - record.since for name, record in self._records.items() if record.reported}
 
 
-def schedule(nodes: list[str], replicas: int, per_node_s: float, index: int) -> Iterator[tuple[float, str]]:
-    """Active checks without end: (how many seconds to wait, whom to check then).
+def check_schedule(nodes: list[str], replicas: int, per_node_s: float, index: int) -> Iterator[tuple[float, str]]:
+    """Yields the active checks without end, as (seconds to wait, node to check then).
 
-    All sidecars of a tier together check each node `per_node_s` times a second, however many they are: each waits
-    `replicas / per_node_s` between two checks of one node, and begins at its own place in that time.
+    All sidecars of a tier together check each node `per_node_s` times a second, however many they are: each
+    sidecar waits `replicas / per_node_s` seconds between two checks of a node, and starts at its own offset in
+    that period.
     """
     if not nodes:
         return
-    every_s = max(1, replicas) / per_node_s
-    step_s = every_s / len(nodes)
+    period_s = max(1, replicas) / per_node_s
+    step_s = period_s / len(nodes)
     yield step_s * (index % max(1, replicas)) / max(1, replicas), nodes[0]
-    at = 1
+    position = 1
     while True:
-        yield step_s, nodes[at % len(nodes)]
-        at += 1
+        yield step_s, nodes[position % len(nodes)]
+        position += 1
--- a/covetally/process.py
+++ b/covetally/process.py
@@ -38,8 +38,8 @@
     from covetally.control.instance import Instance
     from covetally.control.manager import Manager
     from covetally.membership.registration import Registrar
-    from covetally.membership.service import Roster
-    from covetally.membership.settings import Plan
+    from covetally.membership.service import MembershipService
+    from covetally.membership.settings import MembershipConfig
     from covetally.operator.schema import Values
     from covetally.spoken import Spoken
     from covetally.tier.shell import Shell
@@ -81,7 +81,7 @@
         self.stop = asyncio.Event()
         self.serving = False  # it takes requests
         self.on_ready: Callable[[], None] | None = None
-        self.roster: Roster | None = None
+        self.roster: MembershipService | None = None
         self.tier: Shell | None = None
         self.spoken: Spoken | None = None
         self.registrar: Registrar | None = None
@@ -132,7 +132,7 @@
         """An order to the roster; empty, or why not."""
         if self.roster is None:
             return NO_ROSTER
-        self.roster.order(what)
+        self.roster.apply_command(what)
         return ""
 
     def manage(self, managed: Values) -> None:
@@ -190,9 +190,9 @@
             self._apply_update(known, "SAVED")
         else:
             self.roster = self._made(plan)
-            self.roster.recall(known)
+            self.roster.restore(known)
             self.roster.start()
-            await self.roster.first()
+            await self.roster.wait_for_nodes()
         if self.manager is not None:
             self.manager.restore_orders()
         if self.member is not None:
@@ -287,30 +287,32 @@
 
     # --- where the list of nodes comes from -----------------------------------------------------
 
-    def _made(self, plan: Plan) -> Roster:
-        from covetally.membership.service import Parts, Roster
+    def _made(self, plan: MembershipConfig) -> MembershipService:
+        from covetally.membership.service import MembershipDependencies, MembershipService
 
-        parts = Parts(
+        parts = MembershipDependencies(
             self.clock, self.discovery,
             lambda entries: self._apply_update(ListUpdate(0, False, entries), "INCREMENTAL"),
             self.sidecar.beliefs, self.sidecar.suspect,
         )  # fmt: skip
-        roster = Roster(plan, self.config.settings, parts)
-        self.sidecar.on_outcome = roster.outcome
+        roster = MembershipService(plan, self.config.settings, parts)
+        self.sidecar.on_outcome = roster.record_outcome
         return roster
 
     def _rewire(self) -> None:
         """Serve from the source that is wanted now. The list in force stays until the new one says otherwise."""
         plan = self.configuration.plan
         if plan is not None and self.roster is not None:
-            self.roster.retune(plan, self.config.settings)
+            self.roster.apply_settings(plan, self.config.settings)
         elif plan is not None:
             self.discovery.stop()
             self.roster = self._made(plan)
-            self.roster.begin(self.upstream.roster(), {b.server for b in self.sidecar.beliefs() if b.up})
+            self.roster.adopt_platform_list(
+                self.upstream.roster(), {b.server for b in self.sidecar.beliefs() if b.up}
+            )
             self.roster.start()
             if self.manager is not None:
-                self.roster.order(self.manager.orders.roster.value)
+                self.roster.apply_command(self.manager.orders.roster.value)
         elif self.roster is not None:
             self.roster.stop()
             self.roster = self.sidecar.on_outcome = None
@@ -332,7 +334,7 @@
         self._apply_update(news, "FULL" if news.whole else "INCREMENTAL")
 
     def _subscribe(self) -> None:
-        if self.roster is None or self.roster.asks_platform:
+        if self.roster is None or self.roster.uses_platform:
             self.discovery.subscribe()
 
     async def _end(self) -> None:
@@ -351,7 +353,7 @@
             self.spoken.stop()
         if self.roster is not None:
             self.roster.stop()
-            await self.roster.saved()
+            await self.roster.flush()
         if self.manager is not None:
             await self.manager.stop()
         closed = ", ".join(f"{reason.value} {count}" for reason, count in self.frontend.closed.items())
--- a/tests/control/test_keep_disk.py
+++ b/tests/control/test_keep_disk.py
@@ -166,7 +166,7 @@
             await asyncio.sleep(max(0.0, (end_ns - time.monotonic_ns()) / SECOND) - 0.5)
             assert not kept.exists() and "roster.keep" in instance.log
             await until(kept.exists)
-            members, _ = persistence.read(kept)
+            members, _ = persistence.load(kept)
             assert sorted(member.id for member in members) == ["n0", "n1"]
             assert instance.log.count("make room on the disk") == 1
 
--- a/tests/membership/test_membership_view.py
+++ b/tests/membership/test_membership_view.py
@@ -1,4 +1,4 @@
-"""What is believed of a source's word: a table of steps, and a stateful property against a plain model."""
+"""The membership view: single steps, and a stateful property test against a simple model."""
 
 from __future__ import annotations
 
@@ -8,365 +8,399 @@
 from hypothesis import settings
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from covetally.membership.membership_view import AUTO, BELIEVE, HOLD, MISSES, Believer, differences
-from covetally.membership.model import DOWN, LEAVING, STARTING, UP, Member, Read, Rule, from_table, to_table
-
-S = 1_000_000_000
-RULE = Rule(share=0.25, hold_ns=30 * S, stale_ns=20 * S)
+from covetally.membership.membership_view import (
+    AUTO,
+    BELIEVE,
+    CONFIRMED_MISSES,
+    HOLD,
+    MembershipView,
+    differences,
+)
+from covetally.membership.model import (
+    DOWN,
+    LEAVING,
+    STARTING,
+    UP,
+    Member,
+    Snapshot,
+    ViewConfig,
+    from_table,
+    to_table,
+)
+
+SECOND = 1_000_000_000
+VIEW_CONFIG = ViewConfig(max_missing_share=0.25, hold_ns=30 * SECOND, stale_ns=20 * SECOND)
 
 
 def member(i: int, **more) -> Member:
     return Member(f"n{i}", ("10.0.0.1", 1000 + i), **({"dirty": 100, "updated": 100, "registered": 100} | more))
 
 
-def listing(*members: Member, teller: str = "a", clean: bool = True, **more) -> Read:
-    return Read("eureka", teller, {m.id: m for m in members}, "r", clean, **more)
+def listing(*members: Member, endpoint: str = "a", complete: bool = True, **more) -> Snapshot:
+    return Snapshot("eureka", endpoint, {m.id: m for m in members}, "r", complete, **more)
 
 
-class Steps:
-    """A believer and the roster that its words add up to."""
+class ViewDriver:
+    """A membership view, and the nodes that are up according to its updates."""
 
     def __init__(self, count: int = 8, started: bool = True) -> None:
-        self.now = 1000 * S
-        self.believer = Believer(RULE, self.now)
+        self.now = 1000 * SECOND
+        self.view = MembershipView(VIEW_CONFIG, self.now)
         self.up: dict[str, int] = {}
         self.lines = []
         if started:
             self.read(*(member(i) for i in range(count)))
 
-    def take(self, told) -> list:
-        for line in told:
-            if line.lifecycle == "up":
-                self.up[line.member.id] = line.started_ns
+    def apply(self, updates) -> list:
+        for update in updates:
+            if update.lifecycle == "up":
+                self.up[update.member.id] = update.started_ns
             else:
-                self.up.pop(line.member.id, None)
-        return told
+                self.up.pop(update.member.id, None)
+        return updates
 
-    def read(self, *members: Member, after: int = S, **more) -> list:
+    def read(self, *members: Member, after: int = SECOND, **more) -> list:
         self.now += after
-        return self.take(self.believer.read(self.now, listing(*members, **more)))
+        return self.apply(self.view.apply_snapshot(self.now, listing(*members, **more)))
 
-    def word(self) -> str:
-        return self.believer.level(self.now).word
+    def status_name(self) -> str:
+        return self.view.status(self.now).name
 
 
 def all_of(*numbers: int, **more) -> list[Member]:
     return [member(i, **more) for i in numbers]
 
 
-def test_a_single_removal_is_honoured_at_once_and_so_is_a_share_of_them():
-    steps = Steps(8)
-    assert [t.lifecycle for t in steps.read(*all_of(*range(7)))] == ["removed"]
-    assert len(steps.up) == 7
-    steps.read(*all_of(*range(6)))  # the second within the time: 2 of 8 is the share
-    steps.read(*all_of(*range(5)))  # one alone is always honoured
-    assert len(steps.up) == 5 and steps.word() == "fresh"
-    steps.read(*all_of(*range(3)))
-    assert len(steps.up) == 5 and steps.word() == "in doubt", "two more within the time are over the share"
+def test_a_single_removal_and_a_small_share_are_applied_at_once():
+    driver = ViewDriver(8)
+    assert [t.lifecycle for t in driver.read(*all_of(*range(7)))] == ["removed"]
+    assert len(driver.up) == 7
+    driver.read(*all_of(*range(6)))  # the second within hold_ns: 2 of 8 is the share
+    driver.read(*all_of(*range(5)))  # a single one is always applied
+    assert len(driver.up) == 5 and driver.status_name() == "fresh"
+    driver.read(*all_of(*range(3)))
+    assert len(driver.up) == 5 and driver.status_name() == "in doubt", (
+        "two more within hold_ns are over the share"
+    )
 
 
-def test_a_list_that_empties_is_held_for_its_time_and_no_longer():
-    steps = Steps(8)
+def test_nodes_missing_from_an_empty_list_are_held_for_hold_ns():
+    driver = ViewDriver(8)
     for _ in range(10):
-        assert steps.read() == []
-    assert steps.word() == "in doubt" and "8 nodes" in steps.believer.level(steps.now).why
-    steps.now += 19 * S
-    assert steps.take(steps.believer.tick(steps.now)) == [] and len(steps.up) == 8
-    steps.now += 2 * S
-    steps.take(steps.believer.tick(steps.now))
-    assert steps.up == {}
-    steps.read()
-    assert steps.up == {} and steps.word() == "empty" and steps.believer.counts["timed_out"] == 8
+        assert driver.read() == []
+    assert driver.status_name() == "in doubt" and "8 nodes" in driver.view.status(driver.now).reason
+    driver.now += 19 * SECOND
+    assert driver.apply(driver.view.tick(driver.now)) == [] and len(driver.up) == 8
+    driver.now += 2 * SECOND
+    driver.apply(driver.view.tick(driver.now))
+    assert driver.up == {}
+    driver.read()
+    assert driver.up == {} and driver.status_name() == "empty" and driver.view.counts["timed_out"] == 8
 
 
-def test_the_last_node_is_held_too():
-    steps = Steps(1)
-    steps.read()
-    assert len(steps.up) == 1 and steps.word() == "in doubt"
+def test_the_last_node_is_held():
+    driver = ViewDriver(1)
+    driver.read()
+    assert len(driver.up) == 1 and driver.status_name() == "in doubt"
 
 
-def test_a_list_that_comes_back_clears_the_doubt_and_nobody_is_cold():
-    steps = Steps(8)
-    steps.read()
-    assert steps.read(*all_of(*range(8))) == [] and steps.word() == "fresh"
-    assert set(steps.up.values()) == {0}
+def test_a_list_that_comes_back_ends_the_doubt_and_no_node_is_cold():
+    driver = ViewDriver(8)
+    driver.read()
+    assert driver.read(*all_of(*range(8))) == [] and driver.status_name() == "fresh"
+    assert set(driver.up.values()) == {0}
 
 
-def test_a_registry_that_fills_slowly_costs_no_node():
-    steps = Steps(8)
+def test_a_registry_that_fills_slowly_removes_no_node():
+    driver = ViewDriver(8)
     for count in range(8):
-        steps.read(*all_of(*range(count)))
-        assert len(steps.up) == 8
-    steps.read(*all_of(*range(8)))
-    assert steps.word() == "fresh"
-
-
-def test_one_more_lost_on_its_own_during_a_doubt_is_honoured():
-    steps = Steps(8)
-    steps.read(*all_of(0, 1, 2))
-    told = steps.read(*all_of(0, 1))
-    assert [t.member.id for t in told] == ["n2"] and len(steps.up) == 7
-
-
-def test_a_second_address_confirms_and_an_empty_one_or_one_that_still_lists_does_not():
-    steps = Steps(8)
-    steps.read(*all_of(0, 1, 2, 3))
-    believer = steps.believer
-    assert believer.witness(steps.now, listing(*all_of(0, 1), teller="b")) == [], "the list may be filling"
-    steps.read(*all_of(0, 1, 2, 3))
-    assert believer.witness(steps.now, listing(teller="b")) == []
-    assert believer.witness(steps.now, listing(*all_of(0), teller="b", clean=False)) == []
-    assert believer.witness(steps.now, listing(*all_of(*range(8)), teller="b")) == []
-    assert believer.witness(steps.now, listing(*all_of(0), teller="b", bad={f"n{i}": "" for i in range(8)})) == []
-    steps.take(believer.witness(steps.now, listing(*all_of(0, 1, 2, 3, 4), teller="b")))
-    assert sorted(steps.up) == ["n0", "n1", "n2", "n3", "n4"] and believer.counts["confirmed"] == 3
-
-
-def test_a_held_node_that_takes_no_connections_is_gone_and_one_that_is_listed_is_not():
-    steps = Steps(8)
-    steps.read(*all_of(0, 1))
-    steps.take(steps.believer.evidence(steps.now, ["n0", "n5", "n99"]))
-    assert sorted(steps.up) == ["n0", "n1", "n2", "n3", "n4", "n6", "n7"]
-
-
-def test_operators_say_believe_or_hold():
-    steps = Steps(8)
-    steps.read()
-    steps.take(steps.believer.order(steps.now, HOLD))
-    steps.now += 60 * S
-    assert steps.believer.tick(steps.now) == [] and steps.word() == "held"
-    assert steps.believer.evidence(steps.now, ["n1"]) == []
-    steps.take(steps.believer.order(steps.now, BELIEVE))
-    assert steps.up == {} and steps.believer.mode == AUTO
-    steps.read(*all_of(*range(8), dirty=200))
-    steps.believer.order(steps.now, HOLD)
-    steps.read(*all_of(*range(7), dirty=200))
-    assert len(steps.up) == 8, "on hold even one alone stays"
-    steps.now += 31 * S
-    steps.believer.order(steps.now, AUTO)
-    steps.take(steps.believer.tick(steps.now))
-    assert len(steps.up) == 7
-
-
-def test_marks_are_honoured_for_all_at_once_and_undone_by_the_same_teller():
-    steps = Steps(8)
-    steps.read(*all_of(*range(8), state=LEAVING, word="OUT_OF_SERVICE", updated=101))
-    assert steps.up == {}
-    steps.read(*all_of(*range(8), updated=102))
-    assert len(steps.up) == 8 and set(steps.up.values()) == {0}, "their processes lived on"
-
-
-def test_an_older_snapshot_does_not_undo_a_mark_until_it_stood_for_the_time():
-    steps = Steps(3)
+        driver.read(*all_of(*range(count)))
+        assert len(driver.up) == 8
+    driver.read(*all_of(*range(8)))
+    assert driver.status_name() == "fresh"
+
+
+def test_a_single_removal_during_a_doubt_is_applied():
+    driver = ViewDriver(8)
+    driver.read(*all_of(0, 1, 2))
+    updates = driver.read(*all_of(0, 1))
+    assert [t.member.id for t in updates] == ["n2"] and len(driver.up) == 7
+
+
+def test_only_a_second_address_that_lists_other_nodes_confirms_removals():
+    driver = ViewDriver(8)
+    driver.read(*all_of(0, 1, 2, 3))
+    view = driver.view
+    assert view.confirm_removals(driver.now, listing(*all_of(0, 1), endpoint="b")) == [], (
+        "the list may still be filling"
+    )
+    driver.read(*all_of(0, 1, 2, 3))
+    assert view.confirm_removals(driver.now, listing(endpoint="b")) == []
+    assert view.confirm_removals(driver.now, listing(*all_of(0), endpoint="b", complete=False)) == []
+    assert view.confirm_removals(driver.now, listing(*all_of(*range(8)), endpoint="b")) == []
+    assert (
+        view.confirm_removals(
+            driver.now, listing(*all_of(0), endpoint="b", invalid={f"n{i}": "" for i in range(8)})
+        )
+        == []
+    )
+    driver.apply(view.confirm_removals(driver.now, listing(*all_of(0, 1, 2, 3, 4), endpoint="b")))
+    assert sorted(driver.up) == ["n0", "n1", "n2", "n3", "n4"] and view.counts["confirmed"] == 3
+
+
+def test_an_unreachable_node_is_removed_only_if_it_is_held():
+    driver = ViewDriver(8)
+    driver.read(*all_of(0, 1))
+    driver.apply(driver.view.remove_unreachable(driver.now, ["n0", "n5", "n99"]))
+    assert sorted(driver.up) == ["n0", "n1", "n2", "n3", "n4", "n6", "n7"]
+
+
+def test_operator_commands_believe_hold_and_auto():
+    driver = ViewDriver(8)
+    driver.read()
+    driver.apply(driver.view.apply_command(driver.now, HOLD))
+    driver.now += 60 * SECOND
+    assert driver.view.tick(driver.now) == [] and driver.status_name() == "held"
+    assert driver.view.remove_unreachable(driver.now, ["n1"]) == []
+    driver.apply(driver.view.apply_command(driver.now, BELIEVE))
+    assert driver.up == {} and driver.view.mode == AUTO
+    driver.read(*all_of(*range(8), dirty=200))
+    driver.view.apply_command(driver.now, HOLD)
+    driver.read(*all_of(*range(7), dirty=200))
+    assert len(driver.up) == 8, "on hold even a single node stays"
+    driver.now += 31 * SECOND
+    driver.view.apply_command(driver.now, AUTO)
+    driver.apply(driver.view.tick(driver.now))
+    assert len(driver.up) == 7
+
+
+def test_overrides_of_all_nodes_apply_at_once_and_the_same_endpoint_undoes_them():
+    driver = ViewDriver(8)
+    driver.read(*all_of(*range(8), state=LEAVING, source_state="OUT_OF_SERVICE", updated=101))
+    assert driver.up == {}
+    driver.read(*all_of(*range(8), updated=102))
+    assert len(driver.up) == 8 and set(driver.up.values()) == {0}, "their processes stayed alive"
+
+
+def test_an_older_snapshot_undoes_an_override_only_after_hold_ns():
+    driver = ViewDriver(3)
     marked = member(0, state=LEAVING, updated=200)
-    steps.read(marked, *all_of(1, 2))
-    steps.read(*all_of(0, 1, 2))
-    assert "n0" not in steps.up and steps.believer.table(steps.now)["nodes"][0]["contested"] == "up says a"
-    steps.read(*all_of(0, 1, 2), teller="b")
-    assert "n0" not in steps.up
-    steps.read(marked, *all_of(1, 2))  # agreed again: the time begins anew
-    steps.read(*all_of(0, 1, 2))
-    steps.read(*all_of(0, 1, 2), after=29 * S)
-    assert "n0" not in steps.up
-    steps.read(*all_of(0, 1, 2), after=S)
-    assert "n0" in steps.up
-
-
-def test_another_peer_undoes_a_mark_only_with_newer_stamps():
-    steps = Steps(3)
-    steps.read(member(0, state=LEAVING, updated=200), *all_of(1, 2))
-    steps.read(member(0, updated=900), *all_of(1, 2), teller="b")
-    assert "n0" not in steps.up, "the other registry's clock proves nothing"
-    steps.read(member(0, dirty=101, updated=900), *all_of(1, 2), teller="b")
-    assert "n0" in steps.up
-
-
-def test_a_mark_older_than_what_is_known_is_not_honoured_yet():
-    steps = Steps(3)
-    steps.read(*all_of(0, 1, 2, dirty=150))
-    steps.read(member(0, state=LEAVING, dirty=100), *all_of(1, 2, dirty=150), teller="b")
-    assert "n0" in steps.up
-
-
-def test_who_comes_back_is_cold():
+    driver.read(marked, *all_of(1, 2))
+    driver.read(*all_of(0, 1, 2))
+    assert "n0" not in driver.up and driver.view.table(driver.now)["nodes"][0]["contested"] == "up according to a"
+    driver.read(*all_of(0, 1, 2), endpoint="b")
+    assert "n0" not in driver.up
+    driver.read(marked, *all_of(1, 2))  # agrees again, so hold_ns starts over
+    driver.read(*all_of(0, 1, 2))
+    driver.read(*all_of(0, 1, 2), after=29 * SECOND)
+    assert "n0" not in driver.up
+    driver.read(*all_of(0, 1, 2), after=SECOND)
+    assert "n0" in driver.up
+
+
+def test_another_endpoint_undoes_an_override_only_with_newer_timestamps():
+    driver = ViewDriver(3)
+    driver.read(member(0, state=LEAVING, updated=200), *all_of(1, 2))
+    driver.read(member(0, updated=900), *all_of(1, 2), endpoint="b")
+    assert "n0" not in driver.up, "another registry's clock is not comparable"
+    driver.read(member(0, dirty=101, updated=900), *all_of(1, 2), endpoint="b")
+    assert "n0" in driver.up
+
+
+def test_an_override_older_than_the_known_state_must_wait():
+    driver = ViewDriver(3)
+    driver.read(*all_of(0, 1, 2, dirty=150))
+    driver.read(member(0, state=LEAVING, dirty=100), *all_of(1, 2, dirty=150), endpoint="b")
+    assert "n0" in driver.up
+
+
+def test_a_node_that_comes_back_is_cold():
     for before, after in (
         (member(0, state=STARTING, dirty=110), member(0, dirty=120)),
         (member(0, state=DOWN, dirty=110), member(0, dirty=120)),
         (member(0), member(0, dirty=120, registered=120)),
         (member(0), replace(member(0, dirty=120), address=("10.0.0.9", 1))),
     ):
-        steps = Steps(3)
-        steps.read(before, *all_of(1, 2))
-        told = steps.read(after, *all_of(1, 2))
-        assert [t.member.id for t in told] == ["n0"] and steps.up["n0"] == steps.now
-        assert steps.up["n1"] == 0
+        driver = ViewDriver(3)
+        driver.read(before, *all_of(1, 2))
+        updates = driver.read(after, *all_of(1, 2))
+        assert [t.member.id for t in updates] == ["n0"] and driver.up["n0"] == driver.now
+        assert driver.up["n1"] == 0
 
 
-def test_a_start_that_the_node_names_is_taken_from_it():
-    steps = Steps(2)
-    steps.read(member(0, boot=5, started_ns=7 * S), member(1))
-    assert steps.up["n0"] == 7 * S
+def test_a_start_time_reported_by_the_node_is_used():
+    driver = ViewDriver(2)
+    driver.read(member(0, boot=5, started_ns=7 * SECOND), member(1))
+    assert driver.up["n0"] == 7 * SECOND
 
 
-def test_a_changed_word_about_the_same_process_is_no_start():
-    steps = Steps(3)
-    assert steps.read(member(0, dirty=120), *all_of(1, 2)) == [], "dirty alone is a change of its own status"
-    assert steps.read(member(0, dirty=130, registered=130), *all_of(1, 2), teller="b") == []
+def test_changed_timestamps_of_the_same_process_are_no_restart():
+    driver = ViewDriver(3)
+    assert driver.read(member(0, dirty=120), *all_of(1, 2)) == [], (
+        "a newer dirty timestamp alone is a change of its own status"
+    )
+    assert driver.read(member(0, dirty=130, registered=130), *all_of(1, 2), endpoint="b") == []
 
 
-def test_a_dropped_node_returns_cold_on_new_stamps_and_waits_on_old_ones():
-    steps = Steps(3)
-    for _ in range(MISSES):
-        steps.read(*all_of(1, 2))
-    steps.read(*all_of(0, 1, 2))
-    assert "n0" not in steps.up and list(steps.believer.table(steps.now)["waiting"]) == ["n0"]
-    steps.read(*all_of(0, 1, 2), after=30 * S)
-    assert steps.up["n0"] == steps.now
-    steps.read(*all_of(1, 2))
-    steps.read(member(0, dirty=101), *all_of(1, 2), teller="b")
-    assert steps.up["n0"] == steps.now
+def test_a_removed_node_returns_cold_on_newer_timestamps_and_waits_otherwise():
+    driver = ViewDriver(3)
+    for _ in range(CONFIRMED_MISSES):
+        driver.read(*all_of(1, 2))
+    driver.read(*all_of(0, 1, 2))
+    assert "n0" not in driver.up and list(driver.view.table(driver.now)["waiting"]) == ["n0"]
+    driver.read(*all_of(0, 1, 2), after=30 * SECOND)
+    assert driver.up["n0"] == driver.now
+    driver.read(*all_of(1, 2))
+    driver.read(member(0, dirty=101), *all_of(1, 2), endpoint="b")
+    assert driver.up["n0"] == driver.now
 
 
-def test_a_fleet_that_was_given_up_comes_back_with_its_registry_at_once():
+def test_nodes_removed_by_timeout_or_command_return_at_once_with_their_registry():
     for given_up in ("time", "order"):
-        steps = Steps(4)
-        steps.read()
+        driver = ViewDriver(4)
+        driver.read()
         if given_up == "time":
-            steps.now += 31 * S
-            steps.take(steps.believer.tick(steps.now))
+            driver.now += 31 * SECOND
+            driver.apply(driver.view.tick(driver.now))
         else:
-            steps.take(steps.believer.order(steps.now, BELIEVE))
-        for _ in range(MISSES):
-            steps.read()
-        assert steps.up == {}
-        steps.read(*all_of(*range(4)))
-        assert len(steps.up) == 4 and set(steps.up.values()) == {steps.now}
-    steps = Steps(2)
-    steps.read(member(0))
-    steps.read(teller="b")
-    steps.take(steps.believer.order(steps.now, BELIEVE))
-    steps.read(*all_of(0, 1), teller="c")
-    assert "n0" in steps.up, "with nobody left, any word is better than none"
-
-
-def test_a_slip_of_one_read_costs_one_read():
-    steps = Steps(3)
-    steps.read(*all_of(1, 2))
-    steps.read(*all_of(0, 1, 2))
-    assert steps.up["n0"] == steps.now
-
-
-def test_the_old_word_of_another_peer_does_not_bring_a_dropped_node_back():
-    steps = Steps(3)
-    steps.read(*all_of(1, 2))
-    steps.read(*all_of(0, 1, 2), teller="b")
-    assert "n0" not in steps.up
-
-
-def test_the_same_address_under_another_id_is_one_node_and_cold():
-    steps = Steps(3)
+            driver.apply(driver.view.apply_command(driver.now, BELIEVE))
+        for _ in range(CONFIRMED_MISSES):
+            driver.read()
+        assert driver.up == {}
+        driver.read(*all_of(*range(4)))
+        assert len(driver.up) == 4 and set(driver.up.values()) == {driver.now}
+    driver = ViewDriver(2)
+    driver.read(member(0))
+    driver.read(endpoint="b")
+    driver.apply(driver.view.apply_command(driver.now, BELIEVE))
+    driver.read(*all_of(0, 1), endpoint="c")
+    assert "n0" in driver.up, "with no node up, any list is better than none"
+
+
+def test_a_node_missing_from_one_read_returns_with_the_next():
+    driver = ViewDriver(3)
+    driver.read(*all_of(1, 2))
+    driver.read(*all_of(0, 1, 2))
+    assert driver.up["n0"] == driver.now
+
+
+def test_old_data_of_another_endpoint_does_not_bring_a_removed_node_back():
+    driver = ViewDriver(3)
+    driver.read(*all_of(1, 2))
+    driver.read(*all_of(0, 1, 2), endpoint="b")
+    assert "n0" not in driver.up
+
+
+def test_the_same_address_under_another_id_is_one_cold_node():
+    driver = ViewDriver(3)
     successor = replace(member(0, dirty=300), id="new")
-    steps.read(member(0), successor, *all_of(1, 2))
-    assert "n0" not in steps.up or "new" not in steps.up
-    assert steps.up["new"] == steps.now and steps.believer.shared == {"n0": "new"}
-    steps.read(successor, *all_of(1, 2))
-    assert sorted(steps.up) == ["n1", "n2", "new"] and steps.word() == "fresh"
+    driver.read(member(0), successor, *all_of(1, 2))
+    assert "n0" not in driver.up or "new" not in driver.up
+    assert driver.up["new"] == driver.now and driver.view.duplicates == {"n0": "new"}
+    driver.read(successor, *all_of(1, 2))
+    assert sorted(driver.up) == ["n1", "n2", "new"] and driver.status_name() == "fresh"
 
 
-def test_a_whole_fleet_under_new_ids_is_no_doubt():
-    steps = Steps(8)
-    steps.read(*(replace(m, id=f"x{m.id}", dirty=300) for m in all_of(*range(8))))
-    assert len(steps.up) == 8 and steps.word() == "fresh" and all(name.startswith("x") for name in steps.up)
+def test_all_nodes_under_new_ids_cause_no_doubt():
+    driver = ViewDriver(8)
+    driver.read(*(replace(m, id=f"x{m.id}", dirty=300) for m in all_of(*range(8))))
+    assert (
+        len(driver.up) == 8
+        and driver.status_name() == "fresh"
+        and all(name.startswith("x") for name in driver.up)
+    )
 
 
-def test_another_source_names_the_same_processes_there_and_back():
-    steps = Steps(8)
+def test_switching_sources_and_back_keeps_the_same_processes_warm():
+    driver = ViewDriver(8)
     others = {f"p{i}": replace(member(i), id=f"p{i}", dirty=0, updated=0, registered=0) for i in range(8)}
     for _ in range(3):
-        steps.now += S
-        steps.take(steps.believer.read(steps.now, Read("platform", "platform", others)))
-        assert sorted(steps.up) == sorted(others) and set(steps.up.values()) == {0}
-        steps.read(*all_of(*range(8)))
-        assert sorted(steps.up) == [f"n{i}" for i in range(8)] and set(steps.up.values()) == {0}
-
-
-def test_what_cannot_be_read_stays_and_what_did_not_come_whole_removes_nothing():
-    steps = Steps(8)
-    steps.read(*all_of(1, 2), bad={f"n{i}": "port 0" for i in (0, 3, 4, 5, 6, 7)})
-    assert len(steps.up) == 8 and steps.word() == "fresh"
-    steps.read(member(9), clean=False)
-    assert len(steps.up) == 9
-    steps.read(member(0, state=LEAVING, updated=300), clean=False)
-    assert len(steps.up) == 8
-
-
-def test_new_nodes_are_cold_unless_the_source_tells_their_age_or_it_is_the_first_read():
-    steps = Steps(2)
-    steps.read(*all_of(0, 1), member(2), member(3, started_ns=5 * S))
-    assert steps.up == {"n0": 0, "n1": 0, "n2": steps.now, "n3": 5 * S}
-
-
-def test_levels():
-    steps = Steps(started=False)
-    assert steps.word() == "none"
-    steps.take(steps.believer.kept(steps.now, all_of(0, 1), "r0"))
-    assert len(steps.up) == 2 and steps.word() == "kept"
-    steps.read(clean=False)
-    assert steps.word() == "kept"
-    steps.read(*all_of(0, 1))
-    assert steps.word() == "fresh"
-    steps.now += 20 * S
-    assert steps.word() == "stale" and "revision r" in steps.believer.level(steps.now).why
-    steps.read(*all_of(0, 1))
-    assert steps.word() == "fresh"
-
-
-def test_a_kept_roster_is_doubted_against_an_empty_registry_and_corrected_by_a_full_one():
-    steps = Steps(started=False)
-    steps.take(steps.believer.kept(steps.now, all_of(*range(8)), "r0"))
-    steps.read()
-    assert len(steps.up) == 8 and steps.word() == "in doubt"
-    steps.read(*all_of(*range(1, 9)))
-    assert len(steps.up) == 9, "the list still grows"
-    steps.read(*all_of(*range(1, 9)))
-    assert sorted(steps.up) == [f"n{i}" for i in range(1, 9)] and steps.word() == "fresh"
-
-
-def test_losses_are_forgotten_after_the_time():
-    steps = Steps(8)
-    steps.read(*all_of(*range(6)))
-    steps.read(*all_of(*range(2, 6)), after=RULE.hold_ns)  # 2 of 6 is over the share, whatever was before
-    assert len(steps.up) == 6
-    steps = Steps(16)
-    steps.read(*all_of(*range(12)))  # the share is used up
-    steps.read(*all_of(*range(9)), after=RULE.hold_ns - 1)
-    assert len(steps.up) == 12
-    steps = Steps(16)
-    steps.read(*all_of(*range(12)))
-    steps.read(*all_of(*range(9)), after=RULE.hold_ns)
-    assert len(steps.up) == 9
-
-
-def test_another_address_on_the_word_of_another_peer_waits():
-    steps = Steps(3)
+        driver.now += SECOND
+        driver.apply(driver.view.apply_snapshot(driver.now, Snapshot("platform", "platform", others)))
+        assert sorted(driver.up) == sorted(others) and set(driver.up.values()) == {0}
+        driver.read(*all_of(*range(8)))
+        assert sorted(driver.up) == [f"n{i}" for i in range(8)] and set(driver.up.values()) == {0}
+
+
+def test_invalid_entries_and_incomplete_answers_remove_no_node():
+    driver = ViewDriver(8)
+    driver.read(*all_of(1, 2), invalid={f"n{i}": "port 0" for i in (0, 3, 4, 5, 6, 7)})
+    assert len(driver.up) == 8 and driver.status_name() == "fresh"
+    driver.read(member(9), complete=False)
+    assert len(driver.up) == 9
+    driver.read(member(0, state=LEAVING, updated=300), complete=False)
+    assert len(driver.up) == 8
+
+
+def test_new_nodes_are_cold_unless_their_start_is_known_or_it_is_the_first_read():
+    driver = ViewDriver(2)
+    driver.read(*all_of(0, 1), member(2), member(3, started_ns=5 * SECOND))
+    assert driver.up == {"n0": 0, "n1": 0, "n2": driver.now, "n3": 5 * SECOND}
+
+
+def test_statuses():
+    driver = ViewDriver(started=False)
+    assert driver.status_name() == "none"
+    driver.apply(driver.view.restore(driver.now, all_of(0, 1), "r0"))
+    assert len(driver.up) == 2 and driver.status_name() == "kept"
+    driver.read(complete=False)
+    assert driver.status_name() == "kept"
+    driver.read(*all_of(0, 1))
+    assert driver.status_name() == "fresh"
+    driver.now += 20 * SECOND
+    assert driver.status_name() == "stale" and "revision r" in driver.view.status(driver.now).reason
+    driver.read(*all_of(0, 1))
+    assert driver.status_name() == "fresh"
+
+
+def test_a_restored_list_is_held_against_an_empty_registry_and_corrected_by_a_full_one():
+    driver = ViewDriver(started=False)
+    driver.apply(driver.view.restore(driver.now, all_of(*range(8)), "r0"))
+    driver.read()
+    assert len(driver.up) == 8 and driver.status_name() == "in doubt"
+    driver.read(*all_of(*range(1, 9)))
+    assert len(driver.up) == 9, "the list is still growing"
+    driver.read(*all_of(*range(1, 9)))
+    assert sorted(driver.up) == [f"n{i}" for i in range(1, 9)] and driver.status_name() == "fresh"
+
+
+def test_removals_count_towards_the_share_for_hold_ns():
+    driver = ViewDriver(8)
+    driver.read(*all_of(*range(6)))
+    driver.read(
+        *all_of(*range(2, 6)), after=VIEW_CONFIG.hold_ns
+    )  # 2 of 6 is over the share, whatever was removed before
+    assert len(driver.up) == 6
+    driver = ViewDriver(16)
+    driver.read(*all_of(*range(12)))  # the share is used up
+    driver.read(*all_of(*range(9)), after=VIEW_CONFIG.hold_ns - 1)
+    assert len(driver.up) == 12
+    driver = ViewDriver(16)
+    driver.read(*all_of(*range(12)))
+    driver.read(*all_of(*range(9)), after=VIEW_CONFIG.hold_ns)
+    assert len(driver.up) == 9
+
+
+def test_another_address_reported_by_another_endpoint_must_wait():
+    driver = ViewDriver(3)
     moved = replace(member(0), address=("10.0.0.9", 9))
-    assert steps.read(moved, *all_of(1, 2), teller="b") == []
-    assert steps.believer.nodes["n0"].member.address == ("10.0.0.1", 1000)
-    steps.read(moved, *all_of(1, 2), teller="b", after=RULE.hold_ns)
-    assert steps.believer.nodes["n0"].member.address == ("10.0.0.9", 9)
+    assert driver.read(moved, *all_of(1, 2), endpoint="b") == []
+    assert driver.view.nodes["n0"].member.address == ("10.0.0.1", 1000)
+    driver.read(moved, *all_of(1, 2), endpoint="b", after=VIEW_CONFIG.hold_ns)
+    assert driver.view.nodes["n0"].member.address == ("10.0.0.9", 9)
 
 
-def test_differences_are_by_address():
-    steps = Steps(3)
-    there = listing(replace(member(0), id="x"), member(1, state=LEAVING), member(9), bad={"q": "port 0"})
-    assert differences(steps.believer.roster(), there) == {
+def test_differences_are_matched_by_address():
+    driver = ViewDriver(3)
+    other = listing(replace(member(0), id="x"), member(1, state=LEAVING), member(9), invalid={"q": "port 0"})
+    assert differences(driver.view.current_updates(), other) == {
         "only_here": ["n2"], "only_there": ["n9"], "state": ["n1: up, there leaving"], "id": ["n0, there x"],
         "bad": ["q: port 0"],
     }  # fmt: skip
 
 
-def test_a_member_outlives_a_table():
-    one = member(1, state=LEAVING, word="OUT_OF_SERVICE", zone="a", kind="k", cell=3, weight=0.5, boot=9)
+def test_a_member_survives_conversion_to_a_table():
+    one = member(1, state=LEAVING, source_state="OUT_OF_SERVICE", zone="a", kind="k", cell=3, weight=0.5, boot=9)
     assert from_table(to_table(one)) == one
     for key, value in (("port", 0), ("state", "odd"), ("id", ""), ("cell", "x"), ("host", None)):
         table = to_table(one) | {key: value}
@@ -376,104 +410,104 @@
             from_table(table)
         except ValueError:
             continue
-        raise AssertionError(f"{key} = {value!r} was taken")
+        raise AssertionError(f"{key} = {value!r} was accepted")
 
 
 class Registry(RuleBasedStateMachine):
-    """A registry with faults, and the plain model: what was ever listed, and since when each id is lacking."""
+    """A faulty registry, and a simple model: which ids were ever listed, and since when each is missing."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.steps = Steps(started=False)
-        self.truth: dict[int, Member] = {}
+        self.driver = ViewDriver(started=False)
+        self.registered: dict[int, Member] = {}
         self.stamp = 100
         self.ever: set[str] = set()
-        self.lacking: dict[str, int] = {}
-        self.boundless = False  # an operator has said hold
+        self.missing_since: dict[str, int] = {}
+        self.hold_forever = False  # an operator has ordered hold
 
-    def tell(self, members, teller="a", clean=True) -> None:
+    def report(self, members, endpoint="a", complete=True) -> None:
         found = {m.id for m in members}
         self.ever |= found
-        self.steps.read(*members, teller=teller, clean=clean)
+        self.driver.read(*members, endpoint=endpoint, complete=complete)
         for name in found:
-            self.lacking.pop(name, None)
-        if clean:
+            self.missing_since.pop(name, None)
+        if complete:
             for name in self.ever - found:
-                self.lacking.setdefault(name, self.steps.now)
+                self.missing_since.setdefault(name, self.driver.now)
 
     @rule(i=st.integers(0, 11), state=st.sampled_from([UP, UP, LEAVING, STARTING, DOWN]))
     def change(self, i, state):
         self.stamp += 1
-        self.truth[i] = member(i, state=state, dirty=self.stamp, updated=self.stamp, registered=self.stamp)
+        self.registered[i] = member(i, state=state, dirty=self.stamp, updated=self.stamp, registered=self.stamp)
 
     @rule(i=st.integers(0, 11))
-    def leave(self, i):
-        self.truth.pop(i, None)
+    def remove(self, i):
+        self.registered.pop(i, None)
 
     @rule()
-    def clean(self):
-        self.tell(self.truth.values())
+    def full_list(self):
+        self.report(self.registered.values())
 
-    @rule(keep=st.sets(st.integers(0, 11)), teller=st.sampled_from("ab"), clean=st.booleans())
-    def lack(self, keep, teller, clean):
-        self.tell([m for i, m in self.truth.items() if i in keep], teller, clean)
+    @rule(listed=st.sets(st.integers(0, 11)), endpoint=st.sampled_from("ab"), complete=st.booleans())
+    def incomplete_or_partial_list(self, listed, endpoint, complete):
+        self.report([m for i, m in self.registered.items() if i in listed], endpoint, complete)
 
-    @rule(keep=st.sets(st.integers(0, 11)), seconds=st.integers(0, 40))
-    def look_elsewhere(self, keep, seconds):
-        self.steps.now += seconds * S
-        others = [m for i, m in self.truth.items() if i in keep]
+    @rule(listed=st.sets(st.integers(0, 11)), seconds=st.integers(0, 40))
+    def read_other_address(self, listed, seconds):
+        self.driver.now += seconds * SECOND
+        others = [m for i, m in self.registered.items() if i in listed]
         self.ever |= {m.id for m in others}
-        self.steps.take(self.steps.believer.witness(self.steps.now, listing(*others, teller="b")))
+        self.driver.apply(self.driver.view.confirm_removals(self.driver.now, listing(*others, endpoint="b")))
 
     @rule(i=st.integers(0, 11))
-    def silent(self, i):
-        before = dict(self.steps.up)
-        self.steps.take(self.steps.believer.evidence(self.steps.now, [f"n{i}"]))
-        if f"n{i}" not in self.lacking:
-            assert self.steps.up == before, "silence says nothing against a node that is listed"
+    def unreachable(self, i):
+        before = dict(self.driver.up)
+        self.driver.apply(self.driver.view.remove_unreachable(self.driver.now, [f"n{i}"]))
+        if f"n{i}" not in self.missing_since:
+            assert self.driver.up == before, "a listed node is not removed for being unreachable"
 
-    @rule(word=st.sampled_from([HOLD, AUTO, BELIEVE]))
-    def operator(self, word):
-        self.steps.take(self.steps.believer.order(self.steps.now, word))
-        self.boundless = word == HOLD
+    @rule(command=st.sampled_from([HOLD, AUTO, BELIEVE]))
+    def operator(self, command):
+        self.driver.apply(self.driver.view.apply_command(self.driver.now, command))
+        self.hold_forever = command == HOLD
 
     @rule(seconds=st.integers(1, 40))
     def wait(self, seconds):
-        self.steps.now += seconds * S
-        self.steps.take(self.steps.believer.tick(self.steps.now))
+        self.driver.now += seconds * SECOND
+        self.driver.apply(self.driver.view.tick(self.driver.now))
 
-    @precondition(lambda self: not self.boundless)
+    @precondition(lambda self: not self.hold_forever)
     @rule()
     def converge(self):
-        """New stamps, a clean read, and what is held past its time: the roster is the truth."""
-        for i, m in list(self.truth.items()):
+        """After newer timestamps, a complete read and hold_ns, the view equals the registry."""
+        for i, m in list(self.registered.items()):
             self.stamp += 1
-            self.truth[i] = replace(m, dirty=self.stamp, updated=self.stamp)
-        self.tell(self.truth.values())
-        listed_up = {m.id for m in self.truth.values() if m.state == UP}
-        assert listed_up <= set(self.steps.up)
-        assert set(self.steps.up) - listed_up == set(self.steps.believer.held())
-        self.steps.now += RULE.hold_ns
-        self.steps.take(self.steps.believer.tick(self.steps.now))
-        assert set(self.steps.up) == listed_up
+            self.registered[i] = replace(m, dirty=self.stamp, updated=self.stamp)
+        self.report(self.registered.values())
+        listed_up = {m.id for m in self.registered.values() if m.state == UP}
+        assert listed_up <= set(self.driver.up)
+        assert set(self.driver.up) - listed_up == set(self.driver.view.held_nodes())
+        self.driver.now += VIEW_CONFIG.hold_ns
+        self.driver.apply(self.driver.view.tick(self.driver.now))
+        assert set(self.driver.up) == listed_up
 
     @invariant()
-    def nobody_is_invented(self):
-        assert set(self.steps.up) <= self.ever
+    def no_unlisted_node_is_up(self):
+        assert set(self.driver.up) <= self.ever
 
     @invariant()
-    def nobody_is_kept_past_the_time(self):
-        if self.boundless:
+    def no_missing_node_is_kept_longer_than_hold_ns(self):
+        if self.hold_forever:
             return
-        told = self.steps.believer.tick(self.steps.now)
-        self.steps.take(told)
-        for name, since in self.lacking.items():
-            assert name not in self.steps.up or self.steps.now - since < RULE.hold_ns
+        updates = self.driver.view.tick(self.driver.now)
+        self.driver.apply(updates)
+        for name, since in self.missing_since.items():
+            assert name not in self.driver.up or self.driver.now - since < VIEW_CONFIG.hold_ns
 
     @invariant()
-    def what_was_told_adds_up(self):
-        roster = self.steps.believer.roster()
-        assert {t.member.id for t in roster if t.lifecycle == "up"} == set(self.steps.up)
+    def the_updates_add_up_to_the_view(self):
+        updates = self.driver.view.current_updates()
+        assert {u.member.id for u in updates if u.lifecycle == "up"} == set(self.driver.up)
 
 
 Registry.TestCase.settings = settings(max_examples=80, stateful_step_count=40, deadline=None, derandomize=True)
--- a/tests/membership/test_registration.py
+++ b/tests/membership/test_registration.py
@@ -1,4 +1,4 @@
-"""Registration: a real sidecar in the stand-in registry, and an independent Eureka client on both sides of it."""
+"""Registration: a real sidecar at the test registry, and an independent Eureka client on both sides of it."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 import pytest
 from py_eureka_client import eureka_client
 
-from covetally.membership.eureka.client import Config, Eureka
+from covetally.membership.eureka.client import EurekaConfig, EurekaSource
 from covetally.net.clock import Clock
 from covetally.operator.url import split_url
 from covetally.rig.eureka import Registry, Spec
 from covetally.rig.registered import Registered
 from covetally.rig.world import Shape
-from tests.membership.registry_harness import followed, run
+from tests.membership.registry_harness import followed_registry, run
 from tests.membership.test_processes import run as run_long
 
 REGISTER = """
@@ -28,9 +28,9 @@
 """
 
 
-async def status_of(here: Registered, name: str = "sidecar-0") -> str:
-    """What the registry lists an instance as, by the independent client; empty if it does not."""
-    url = f"http://127.0.0.1:{here.ports['other'][0]}/eureka"
+async def registered_status(harness: Registered, name: str = "sidecar-0") -> str:
+    """The status that the registry lists for an instance, read by the independent client; empty if not listed."""
+    url = f"http://127.0.0.1:{harness.ports['other'][0]}/eureka"
     found = await eureka_client.get_applications(url)
     for app in found.applications:
         for one in app.instances:
@@ -39,75 +39,77 @@
     return ""
 
 
-async def until_status(here: Registered, wanted: str) -> None:
-    while await status_of(here) != wanted:
+async def wait_for_status(harness: Registered, expected: str) -> None:
+    while await registered_status(harness) != expected:
         await asyncio.sleep(0.05)
 
 
-def test_a_sidecar_registers_renews_hangs_returns_and_takes_itself_out():
+def test_a_sidecar_registers_renews_expires_while_hung_and_deregisters():
     async def main():
-        async with Registered(Shape(nodes=2, instances=1), evict_s=0.1) as here:
-            path = here.write_operator("a0")
+        async with Registered(Shape(nodes=2, instances=1), evict_s=0.1) as harness:
+            path = harness.write_operator("a0")
             path.write_text(path.read_text() + REGISTER)
-            await here.start_instance("a0")
-            await until_status(here, "UP")
+            await harness.start_instance("a0")
+            await wait_for_status(harness, "UP")
             await asyncio.sleep(1.5)
-            assert await status_of(here) == "UP", "its lease is renewed"
-            process = here.instances["a0"].process
+            assert await registered_status(harness) == "UP", "its lease is renewed"
+            process = harness.instances["a0"].process
             os.kill(process.pid, signal.SIGSTOP)
-            await until_status(here, "")
+            await wait_for_status(harness, "")
             os.kill(process.pid, signal.SIGCONT)
-            await until_status(here, "UP")
-            assert await here.stop_instance("a0") == 0
-            assert await status_of(here) == ""
+            await wait_for_status(harness, "UP")
+            assert await harness.stop_instance("a0") == 0
+            assert await registered_status(harness) == ""
 
     run_long(main)
 
 
-def test_a_node_beside_it_is_registered_as_long_as_it_answers_itself():
+def test_a_node_next_to_the_sidecar_is_registered_while_it_answers():
     async def main():
-        async with Registered(Shape(nodes=2, instances=1), evict_s=0.1) as here:
-            path = here.write_operator("a0")
-            node = here.nodes["n0"]
+        async with Registered(Shape(nodes=2, instances=1), evict_s=0.1) as harness:
+            path = harness.write_operator("a0")
+            node = harness.nodes["n0"]
             more = f'address = "{node.entry["hostPort"]}"\nhealth_path = "/ping"\n'
             path.write_text(path.read_text() + REGISTER + more)
-            await here.start_instance("a0")
-            await until_status(here, "UP")
-            here.mood("n0", draining=True)  # answers 503: well enough to say that it is not well
-            await until_status(here, "DOWN")
-            here.mood("n0")
-            await until_status(here, "UP")
+            await harness.start_instance("a0")
+            await wait_for_status(harness, "UP")
+            harness.mood("n0", draining=True)  # it answers the health check with 503
+            await wait_for_status(harness, "DOWN")
+            harness.mood("n0")
+            await wait_for_status(harness, "UP")
             os.kill(node.child.pid, signal.SIGSTOP)
-            await until_status(here, "")
+            await wait_for_status(harness, "")
             os.kill(node.child.pid, signal.SIGCONT)
-            await until_status(here, "UP")
+            await wait_for_status(harness, "UP")
 
     run_long(main)
 
 
-def test_the_stand_in_serves_an_independent_client_and_ours_follows_what_that_registered():
+def test_instances_registered_by_an_independent_client_are_followed():
     async def main():
-        async with followed(0) as here:
+        async with followed_registry(0) as harness:
             client = eureka_client.EurekaClient(
-                eureka_server=here.urls[0], app_name="LEDGER", instance_id="theirs", instance_host="127.0.0.1",
+                eureka_server=harness.urls[0], app_name="LEDGER", instance_id="theirs", instance_host="127.0.0.1",
                 instance_ip="127.0.0.1", instance_port=9100, renewal_interval_in_secs=1, duration_in_secs=3,
                 should_discover=False, metadata={"zone": "a"},
             )  # fmt: skip
             await client.start()
-            follow = here.follow(by="all")
-            read = await here.read(lambda r: "theirs" in r.members)
-            member = read.members["theirs"]
+            follow = harness.follow(scope="all")
+            snapshot = await harness.next_snapshot(lambda snapshot: "theirs" in snapshot.members)
+            member = snapshot.members["theirs"]
             assert member.address == ("127.0.0.1", 9100) and member.zone == "a" and member.state == "up"
             await client.status_update("OUT_OF_SERVICE")
-            await here.read(lambda r: r.members["theirs"].word == "OUT_OF_SERVICE")
+            await harness.next_snapshot(
+                lambda snapshot: snapshot.members["theirs"].source_state == "OUT_OF_SERVICE"
+            )
             await client.stop()
-            await here.read(lambda r: "theirs" not in r.members)
+            await harness.next_snapshot(lambda snapshot: "theirs" not in snapshot.members)
             assert follow.counts["failures"] == 0
 
     run(main)
 
 
-def test_leases_run_out_and_self_preservation_keeps_them():
+def test_leases_expire_unless_self_preservation_keeps_them():
     async def main():
         from tests.membership.registry_harness import node
 
@@ -115,18 +117,18 @@
         ports = await registry.start()
         short = {"renewalIntervalInSecs": 1, "durationInSecs": 0}
         registry.change(lambda peer: peer.register(node(0, _eternal=False, leaseInfo=short)))
-        reads = []
+        snapshots = []
         url = split_url(f"http://127.0.0.1:{ports['a0'][0]}/eureka")
-        client = Eureka(Config((url,), "LEDGER", poll_s=0.05), Clock(), reads.append)
+        client = EurekaSource(EurekaConfig((url,), "LEDGER", poll_s=0.05), Clock(), snapshots.append)
         client.start()
-        while not reads or reads[-1].members:
+        while not snapshots or snapshots[-1].members:
             await asyncio.sleep(0.01)
         registry.spec.preserve, registry.peers[0].born = 0.85, -1000.0
         registry.change(lambda peer: peer.register(node(1, _eternal=False, leaseInfo=short)))
-        while not reads[-1].members:
+        while not snapshots[-1].members:
             await asyncio.sleep(0.01)
         await asyncio.sleep(0.3)
-        assert list(reads[-1].members) == ["n1"], "so few renewals are more likely the network's fault"
+        assert list(snapshots[-1].members) == ["n1"], "so few renewals are more likely caused by the network"
         client.stop()
         registry.stop()
 
@@ -154,7 +156,7 @@
         ),
     ],
 )
-def test_a_mistake_ends_the_start_with_one_line_that_names_the_key(tmp_path, lines, names):
+def test_invalid_settings_end_the_start_with_one_line_that_names_the_key(tmp_path, lines, names):
     import json
     import subprocess
 
