--- a/covetally/control/gauges.py
+++ b/covetally/control/gauges.py
@@ -8,7 +8,7 @@
 from collections import deque
 from typing import TYPE_CHECKING, Any, Protocol
 
-from covetally.net.message import Answer
+from covetally.net.http_message import HttpResponse
 
 if TYPE_CHECKING:
     from covetally.loop_monitor import LoopMonitor
@@ -72,15 +72,15 @@
 
     def start(self) -> None:
         """Begin to count."""
-        self._process.sidecar.on_final = self._final
+        self._process.sidecar.on_completed = self._final
         logging.getLogger().addHandler(self.ring)
 
     def stop(self) -> None:
         """Count no more."""
-        self._process.sidecar.on_final = None
+        self._process.sidecar.on_completed = None
         logging.getLogger().removeHandler(self.ring)
 
-    def _final(self, cls: int, answer: Answer | None) -> None:
+    def _final(self, cls: int, answer: HttpResponse | None) -> None:
         if answer is None:
             kind = 3
         elif answer.status == 200:
@@ -100,8 +100,8 @@
         process = self._process
         return {
             "counts": self.counts(),
-            "shed": process.frontend.shed,
-            "open": process.sidecar.open,
+            "shed": process.frontend.shed_requests,
+            "open": process.sidecar.open_requests,
             "lag_ms": round(process.monitor.take_worst_s() * 1000, 1),
             "state": process.state,
         } | ({"roster": process.roster.heartbeat_summary()} if process.roster is not None else {})
@@ -137,7 +137,7 @@
                     "bad": round(b.failure_ratio, 3), "refused": b.connect_failures,
                     "wait_ms": round(b.wait_ns / 1e6, 1), "why": b.reason,
                 }
-                for b in process.sidecar.beliefs()
+                for b in process.sidecar.server_statuses()
             ],
             "held_up": {"count": process.monitor.held_up, "longest_s": round(process.monitor.longest_s, 3)},
             "violations": process.sidecar.violations.table(),
--- a/covetally/membership/http.py
+++ b/covetally/membership/http.py
@@ -1,6 +1,6 @@
 """HTTP/1.1 calls to a registry over one persistent connection, limited in time, size and redirects.
 
-Of `net` it uses only `Waiting`, that is the sockets and the parser of the request path.
+Of `net` it uses only `AsyncConnection`, that is the sockets and the parser of the request path.
 """
 
 from __future__ import annotations
@@ -13,8 +13,8 @@
 from pathlib import Path
 from urllib.parse import urljoin
 
-from covetally.net.message import Broken, End, Headers, Malformed, ResponseHead, encode
-from covetally.net.waiting import Waiting
+from covetally.net.http_message import Broken, End, Headers, Malformed, ResponseHead, encode
+from covetally.net.async_connection import AsyncConnection
 from covetally.operator.url import Url, split_url
 
 MAX_REDIRECTS = 3
@@ -46,7 +46,7 @@
     """An answer whose head has arrived; `body` reads and decodes the rest in chunks."""
 
     def __init__(
-        self, status: int, headers: Headers, client: HttpClient, stream: Waiting, max_bytes: int
+        self, status: int, headers: Headers, client: HttpClient, stream: AsyncConnection, max_bytes: int
     ) -> None:
         self.status = status
         self._headers = dict(headers)
@@ -107,7 +107,7 @@
     def __init__(self, max_bytes: int, authorization: bytes = b"") -> None:
         self._max_bytes = max_bytes
         self.authorization = authorization
-        self._stream: Waiting | None = None
+        self._stream: AsyncConnection | None = None
         self._origin: tuple[str, int] | None = None
         self.calls = self.connections = 0
 
@@ -161,20 +161,20 @@
             raise Broken("the connection ended before an answer")
         return RegistryResponse(head.status, head.headers, self, stream, self._max_bytes)
 
-    async def _connection_to(self, origin: tuple[str, int]) -> Waiting:
+    async def _connection_to(self, origin: tuple[str, int]) -> AsyncConnection:
         stream = self._stream
-        if stream is not None and (self._origin != origin or stream.disturbed()):
+        if stream is not None and (self._origin != origin or stream.has_input()):
             await self.close()
             stream = None
         if stream is None:
             self.connections += 1
-            stream = await Waiting.connect(origin)
+            stream = await AsyncConnection.connect(origin)
         self._stream, self._origin = stream, origin
         return stream
 
-    def release(self, stream: Waiting) -> None:
+    def release(self, stream: AsyncConnection) -> None:
         """Keeps the connection for the next call after an answer was read completely, if it can be reused."""
-        if stream is self._stream and not stream.recycle():
+        if stream is self._stream and not stream.prepare_next_message():
             self._stream = None
             stream.close()
 
@@ -193,7 +193,7 @@
     stream = None
     try:
         async with asyncio.timeout(timeout_s):
-            stream = await Waiting.connect(address)
+            stream = await AsyncConnection.connect(address)
             host = f"{address[0]}:{address[1]}".encode()
             request_line = f"GET {path} HTTP/1.1".encode()
             await stream.write(encode(request_line, [(b"host", host), (b"connection", b"close")], b""))
--- a/covetally/membership/platform.py
+++ b/covetally/membership/platform.py
@@ -26,8 +26,8 @@
 
     def start(self) -> None:
         """Starts watching, beginning with the full list."""
-        self._discovery.on_list = self.apply_update
-        self._discovery.again()
+        self._discovery.on_update = self.apply_update
+        self._discovery.restart()
 
     def stop(self) -> None:
         """Stops watching."""
@@ -35,7 +35,7 @@
 
     def apply_update(self, update: ListUpdate) -> None:
         """Applies one answer of discovery."""
-        members = {} if update.whole else dict(self._members)
+        members = {} if update.full else dict(self._members)
         zones, kinds = self._settings.zones, self._settings.kinds
         for entry, address in update.entries:
             if entry.lifecycle == "removed":
@@ -49,7 +49,7 @@
             )  # fmt: skip
         self._members, self._received_full, self._update_count = (
             members,
-            self._received_full or update.whole,
+            self._received_full or update.full,
             self._update_count + 1,
         )
         self._on_snapshot(
--- a/covetally/membership/service.py
+++ b/covetally/membership/service.py
@@ -118,7 +118,7 @@
             started = {entry.server: entry.started_ns for entry, _ in known.entries}
             snapshots: list[Snapshot] = []
             PlatformSource(self._settings, self._dependencies.discovery, snapshots.append).apply_update(
-                known._replace(whole=True)
+                known._replace(full=True)
             )
             updates = self._view.restore(
                 self._dependencies.clock.now(), snapshots[0].members.values(), "the platform's known"
--- a/covetally/process.py
+++ b/covetally/process.py
@@ -20,16 +20,16 @@
 from covetally.configuration import NO_ROSTER, Configuration
 from covetally.interface import ServerListUpdate
 from covetally.loop_monitor import LoopMonitor
-from covetally.net import early
+from covetally.net import startup_signals
 from covetally.net.clock import Clock
 from covetally.net.config import ConfigError
 from covetally.net.discovery import Discovery
-from covetally.net.frontend import Frontend, bound
+from covetally.net.frontend import Frontend, create_listener
 from covetally.net.peers import Peers
-from covetally.net.seams import Claims
-from covetally.net.server_list import ListError, ListUpdate, read_list
+from covetally.net.extensions import Claims
+from covetally.net.server_list import ListError, ListUpdate, parse_list
 from covetally.net.sidecar import Sidecar
-from covetally.net.system_errors import LACKS
+from covetally.net.system_errors import RESOURCE_ERRORS
 from covetally.net.upstream import Upstream
 from covetally.signals import SignalHandlers
 
@@ -41,12 +41,14 @@
     from covetally.membership.service import MembershipService
     from covetally.membership.settings import MembershipConfig
     from covetally.operator.schema import Values
-    from covetally.spoken import Spoken
+    from covetally.shared_decisions import SharedDecisions
     from covetally.tier.shell import Shell
 
 TIER_MARK, TIER_LEAST = 0x54, 18  # see covetally/tier/wire.py
-WORD_MARK, WORD_LEAST = 0x57, 13  # see covetally/words/frame.py
-LISTEN_TRIES = dict.fromkeys(LACKS, 50) | {errno.EADDRINUSE: 10}  # by what failed; other errors are final
+WORD_MARK, WORD_LEAST = 0x57, 13  # see covetally/gossip/frame.py
+LISTEN_TRIES = dict.fromkeys(RESOURCE_ERRORS, 50) | {
+    errno.EADDRINUSE: 10
+}  # by what failed; other errors are final
 LISTEN_PAUSE_S = 0.1
 log = logging.getLogger("covetally")
 
@@ -83,7 +85,7 @@
         self.on_ready: Callable[[], None] | None = None
         self.roster: MembershipService | None = None
         self.tier: Shell | None = None
-        self.spoken: Spoken | None = None
+        self.shared_decisions: SharedDecisions | None = None
         self.registrar: Registrar | None = None
         self.monitor = LoopMonitor()
         self.clock = clock = Clock()
@@ -114,7 +116,7 @@
 
     def drain(self, within_s: float | None) -> None:
         """Tell clients to stay away, and hold none of them after so many seconds."""
-        self.frontend.drain_by_order(within_s)
+        self.frontend.start_drain(within_s)
 
     def resume(self) -> None:
         """Let clients come back."""
@@ -153,7 +155,7 @@
         signals.on(signal.SIGHUP, asked.set)
         await self._start()
         signals.on(signal.SIGHUP, self.reload)
-        if asked.is_set() or early.told():
+        if asked.is_set() or startup_signals.sighup_received():
             self.reload()
         if self.manager is not None:
             self.manager.start()
@@ -164,7 +166,7 @@
         await self._end()
 
     def _told_to_end(self, number: signal.Signals) -> None:
-        open_ = (self.frontend.connections, self.sidecar.open)
+        open_ = (self.frontend.connections, self.sidecar.open_requests)
         log.info("%s: %s: %d connections, %d requests under way", self.config.name, number.name, *open_)
         self.stop.set()
 
@@ -175,11 +177,11 @@
         known = ListUpdate(0, True, [])
         if config.known is not None:
             try:
-                known = read_list(config.settings, config.known)
+                known = parse_list(config.settings, config.known)
             except ListError as error:
                 log.warning("known: no usable list: %s", error)
-        self.discovery.on_list = self._listed
-        self.discovery.on_failure = lambda: self.sidecar.directory(ServerListUpdate("FAILED"))
+        self.discovery.on_update = self._listed
+        self.discovery.on_failure = lambda: self.sidecar.update_servers(ServerListUpdate("FAILED"))
         self.peers.on_message = self._datagram
         if config.peer_listen is not None:
             await _bind("peer_listen", lambda: self.peers.listen(config.peer_listen))
@@ -196,9 +198,9 @@
         if self.manager is not None:
             self.manager.restore_orders()
         if self.member is not None:
-            self.address = self.frontend.adopt(self.member.listener, self.member.claims)
+            self.address = self.frontend.start_accepting(self.member.listener, self.member.claims)
         else:
-            self.address = self.frontend.adopt(await self._listener())
+            self.address = self.frontend.start_accepting(await self._listener())
         if self.roster is None:
             self.discovery.start()
         if "register.app" in self.values:
@@ -217,19 +219,19 @@
         tries = 0
         while True:
             try:
-                return bound(config.listen, config.backlog)
+                return create_listener(config.listen, config.backlog)
             except OSError as error:
                 tries += 1
                 if tries >= LISTEN_TRIES.get(error.errno or 0, 1):
                     raise ConfigError(f"listen: {error}") from None
-                level = logging.WARNING if error.errno in LACKS else logging.DEBUG
+                level = logging.WARNING if error.errno in RESOURCE_ERRORS else logging.DEBUG
                 log.log(level, "cannot listen yet: %s", error)
             await asyncio.sleep(LISTEN_PAUSE_S)
 
     def _apply_update(self, news: ListUpdate, scope: str) -> None:
         # Upstream first: the module may submit to a server in the same breath as it hears of it.
-        self.upstream.update(news.entries, news.whole)
-        self.sidecar.directory(ServerListUpdate(scope, tuple(entry for entry, _ in news.entries)))
+        self.upstream.update(news.entries, news.full)
+        self.sidecar.update_servers(ServerListUpdate(scope, tuple(entry for entry, _ in news.entries)))
         if self.tier is not None:
             self.tier.listed(self.sidecar.zones())
 
@@ -239,10 +241,10 @@
         """The module's rumours have 8 bytes; the tier's messages begin with their mark and have more."""
         if self.tier is not None and len(data) > TIER_LEAST and data[0] == TIER_MARK:
             self.tier.heard(sender, data)
-        elif self.spoken is not None and len(data) >= WORD_LEAST and data[0] == WORD_MARK:
-            self.spoken.heard(sender, data)
+        elif self.shared_decisions is not None and len(data) >= WORD_LEAST and data[0] == WORD_MARK:
+            self.shared_decisions.receive(sender, data)
         else:
-            self.sidecar.heard(data)
+            self.sidecar.receive_gossip(data)
 
     def _retier(self) -> None:
         """Take part in the tier as is wanted now."""
@@ -256,7 +258,7 @@
         else:
             from covetally.tier.shell import Parts, Shell
 
-            parts = Parts(self.clock.now, self.peers.send, self.sidecar.advise, self.sidecar.demand)
+            parts = Parts(self.clock.now, self.peers.send, self.sidecar.handle_event, self.sidecar.demand)
             life, seed = secrets.randbits(32), self.config.seed
             self.tier = Shell(plan.me, plan.size, life, seed, plan.site, plan.held, parts)
             self.sidecar.on_attempt = self.tier.outcome
@@ -265,21 +267,27 @@
 
     def _respeak(self) -> None:
         """Take part in what sidecars decide by words, as is wanted now."""
-        if self.spoken is None:
+        if self.shared_decisions is None:
             if self.configuration.overload is None and self.configuration.caps is None:
                 return
-            from covetally.spoken import Spoken
+            from covetally.shared_decisions import SharedDecisions
 
-            self.spoken = Spoken(self.clock, self.peers.send, self.sidecar, self.frontend)
-        self.spoken.adopt(self.configuration)
+            self.shared_decisions = SharedDecisions(self.clock, self.peers.send, self.sidecar, self.frontend)
+        self.shared_decisions.apply_configuration(self.configuration)
 
     async def overload_table(self) -> dict[str, Any]:
         """Where the fleet's overload line stands here, for operators."""
-        return self.spoken.line_table() if self.spoken is not None else {"off": "overload.mode is off here"}
+        return (
+            self.shared_decisions.overload_table()
+            if self.shared_decisions is not None
+            else {"off": "overload.mode is off here"}
+        )
 
     async def caps_table(self) -> dict[str, Any]:
         """Workshops' connection caps as they stand here, for operators."""
-        return self.spoken.caps_table() if self.spoken is not None else {"off": "no caps here"}
+        return (
+            self.shared_decisions.caps_table() if self.shared_decisions is not None else {"off": "no caps here"}
+        )
 
     async def tier_table(self) -> dict[str, Any]:
         """What this sidecar knows of its tier, for operators."""
@@ -293,7 +301,7 @@
         parts = MembershipDependencies(
             self.clock, self.discovery,
             lambda entries: self._apply_update(ListUpdate(0, False, entries), "INCREMENTAL"),
-            self.sidecar.beliefs, self.sidecar.suspect,
+            self.sidecar.server_statuses, self.sidecar.report_unresponsive,
         )  # fmt: skip
         roster = MembershipService(plan, self.config.settings, parts)
         self.sidecar.on_outcome = roster.record_outcome
@@ -308,7 +316,7 @@
             self.discovery.stop()
             self.roster = self._made(plan)
             self.roster.adopt_platform_list(
-                self.upstream.roster(), {b.server for b in self.sidecar.beliefs() if b.up}
+                self.upstream.addresses(), {b.server for b in self.sidecar.server_statuses() if b.up}
             )
             self.roster.start()
             if self.manager is not None:
@@ -316,22 +324,22 @@
         elif self.roster is not None:
             self.roster.stop()
             self.roster = self.sidecar.on_outcome = None
-            self.discovery.on_list = self._listed
-            self.discovery.again()
+            self.discovery.on_update = self._listed
+            self.discovery.restart()
 
     async def roster_table(self) -> dict[str, Any]:
         """What is believed of the list of nodes and why, for operators."""
         if self.roster is not None:
             return self.roster.table()
-        up = {b.server for b in self.sidecar.beliefs() if b.up}
+        up = {b.server for b in self.sidecar.server_statuses() if b.up}
         nodes = [
             {"node": name, "address": "{}:{}".format(*address), "state": "up" if name in up else "leaving"}
-            for name, address in sorted(self.upstream.roster())
+            for name, address in sorted(self.upstream.addresses())
         ]
         return {"level": "direct", "why": "the platform's list, believed at once", "nodes": nodes}
 
     def _listed(self, news: ListUpdate) -> None:
-        self._apply_update(news, "FULL" if news.whole else "INCREMENTAL")
+        self._apply_update(news, "FULL" if news.full else "INCREMENTAL")
 
     def _subscribe(self) -> None:
         if self.roster is None or self.roster.uses_platform:
@@ -344,13 +352,13 @@
             await self.registrar.stop(cancel=not alone)
         if self.manager is not None:
             self.manager.goodbye()
-        await self.frontend.drain(self.configuration.shutdown.closed_s, accept=not alone)
+        await self.frontend.shut_down(self.configuration.shutdown.closed_s, accept=not alone)
         self.monitor.stop()
         self.discovery.stop()
         if self.tier is not None:
             self.tier.stop()
-        if self.spoken is not None:
-            self.spoken.stop()
+        if self.shared_decisions is not None:
+            self.shared_decisions.stop()
         if self.roster is not None:
             self.roster.stop()
             await self.roster.flush()
@@ -380,13 +388,13 @@
 
     def _adopt(self) -> None:
         self.config = config = self.configuration.config
-        self.discovery.move(config.discovery)
-        self.peers.move(config.peers, config.peers_all)
+        self.discovery.set_address(config.discovery)
+        self.peers.set_peers(config.peers, config.peers_all)
         self._retier()
         self._respeak()
-        self.sidecar.retune(config.settings)
+        self.sidecar.reconfigure(config.settings)
         self.sidecar.tracing = log.isEnabledFor(logging.DEBUG)
-        self.upstream.retune(config.settings, config.server_connections)
+        self.upstream.reconfigure(config.settings, config.server_connections)
         self.frontend.retune(config.settings, config.client_connections, config.body_memory)
         self._rewire()
 
--- a/covetally/websocket/hub.py
+++ b/covetally/websocket/hub.py
@@ -15,10 +15,10 @@
 from typing import Any
 
 from covetally.interface import Settings
-from covetally.net.seams import Upgrade
-from covetally.net.message import Answer, Headers, Malformed, RequestHead, encode
-from covetally.net.sidecar import Arrival, Sidecar
-from covetally.net.wheel import Timer
+from covetally.net.extensions import Upgrade
+from covetally.net.http_message import HttpResponse, Headers, Malformed, RequestHead, encode
+from covetally.net.sidecar import RequestInfo, Sidecar
+from covetally.net.timer_wheel import Timer
 from covetally.websocket import handshake
 from covetally.websocket.frames import GOING_AWAY, RESTART, Limits
 from covetally.websocket.policy import Policy
@@ -109,10 +109,10 @@
         ttl_ns = max(1, min(cls.deadline_ns, route.handshake_ns, wanted_ns if wanted_ns > 0 else cls.deadline_ns))
         place = self._tenants.get(fields.get(b"x-customer", b""), route.tenant)
         tenant = self._settings.tenants[place].name if place >= 0 else ""
-        arrival = Arrival(number, ttl_ns, tenant=place, upgrade=True)
+        arrival = RequestInfo(number, ttl_ns, tenant=place, upgrade=True)
         return Upgrade(headers, arrival, trace_id, _Asked(asked, route, tenant), asked)
 
-    def admit(self, upgrade: Upgrade) -> Answer | None:
+    def admit(self, upgrade: Upgrade) -> HttpResponse | None:
         """Take a place for it; the refusal if there is none."""
         asked: _Asked = upgrade.token
         why = self.policy.admit(asked.tenant)
@@ -122,11 +122,11 @@
         self.refused[why] += 1
         return self._refusal(FULL[why])
 
-    def _refusal(self, words: str) -> Answer:
+    def _refusal(self, words: str) -> HttpResponse:
         headers: Headers = [(b"content-type", b"text/plain"), (b"retry-after", b"%.3f" % self.policy.back_s())]
-        return Answer(503, headers, words.encode() + b"\n")
+        return HttpResponse(503, headers, words.encode() + b"\n")
 
-    def declined(self, upgrade: Upgrade, answer: Answer | None) -> None:
+    def declined(self, upgrade: Upgrade, answer: HttpResponse | None) -> None:
         """No socket came of it: the client got this answer, or left (None)."""
         asked: _Asked = upgrade.token
         if asked.admitted:
@@ -134,7 +134,7 @@
             self.policy.leave_place(asked.tenant)
             self.failed["left" if answer is None else str(answer.status)] += 1
 
-    def switched(self, upgrade: Upgrade, client: tuple[Any, bytes], answer: Answer) -> None:
+    def switched(self, upgrade: Upgrade, client: tuple[Any, bytes], answer: HttpResponse) -> None:
         """A node has agreed: both connections are ours from here on."""
         asked: _Asked = upgrade.token
         node = answer.switched
@@ -153,9 +153,9 @@
         if self._listed.get(node.name) != "up":  # it was told to leave while the handshake was out
             self.policy.leave(now, node.name, "drain" if node.name in self._listed else "gone")
         self.policy.opened(now, self._serial, node.name, asked.tenant)
-        self._sidecar.holds(node.name, 1)
+        self._sidecar.adjust_held_connections(node.name, 1)
         relay = self._open[self._serial] = Relay(
-            self._serial, node.name, asked.tenant, client, (node.sock, node.early), terms, self._wheel,
+            self._serial, node.name, asked.tenant, client, (node.sock, node.leading_bytes), terms, self._wheel,
             self._rng.random(), self._ended, self._hung,
         )  # fmt: skip
         headers = [*answer.headers, (b"connection", b"Upgrade"), (b"upgrade", b"websocket")]
@@ -171,7 +171,7 @@
     def _ended(self, relay: Relay, ending: Ending) -> None:
         del self._open[relay.id]
         self.policy.ended(relay.id)
-        self._sidecar.holds(relay.node, -1)
+        self._sidecar.adjust_held_connections(relay.node, -1)
         self.ended[ending.why] += 1
         for side, sent, got in zip(("client", "node"), ending.sent, ending.got, strict=True):
             self.codes[f"to the {side} {sent or 'none'}"] += 1
@@ -193,7 +193,7 @@
         )  # fmt: skip
         if self.policy.stalled(self._loop.time(), relay.node, others):
             log.warning("node %s is silent on its sockets: no new work but trials", relay.node)
-            self._sidecar.suspect(relay.node)
+            self._sidecar.report_unresponsive(relay.node)
 
     # --- nodes ----------------------------------------------------------------------------------
 
--- a/tests/test_wheel.py
+++ b/tests/test_timer_wheel.py
@@ -1,4 +1,4 @@
-"""The timers of the request path, and a guard on how many calls a request costs."""
+"""The timer wheel of the request path, and an upper limit for the function calls that a request costs."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from covetally.net.wheel import WIDTH_S, Wheel
-from tests.loopback import fine, place, read_message, request
+from covetally.net.timer_wheel import SLOT_WIDTH_S, TimerWheel
+from tests.loopback import respond_ok, sidecar_harness, read_message, request
 
-CALLS = 128  # of functions of this program, for one request on kept connections; 122.1 when this was written
+MAX_CALLS = 128  # of functions of this program per request on reused connections; 122.1 when it was chosen
 
 
 @given(delays=st.lists(st.tuples(st.floats(0, 0.03), st.booleans()), min_size=1, max_size=40))
 @settings(max_examples=15, deadline=None, derandomize=True)
-def test_nothing_fires_early_or_twice_or_after_its_cancel(delays):
+def test_timers_fire_once_and_never_early_or_after_cancel(delays):
     async def main():
-        wheel, loop, fired = Wheel(), asyncio.get_running_loop(), []
+        wheel, loop, fired = TimerWheel(), asyncio.get_running_loop(), []
         start = loop.time()
         timers = [
             wheel.call_at(start + delay, lambda n=n: fired.append((n, loop.time())))
@@ -29,36 +29,36 @@
             if cancelled:
                 timer.cancel()
                 timer.cancel()
-        wanted = {n for n, (_, cancelled) in enumerate(delays) if not cancelled}
+        expected = {n for n, (_, cancelled) in enumerate(delays) if not cancelled}
         async with asyncio.timeout(10):
-            while {n for n, _ in fired} < wanted:
+            while {n for n, _ in fired} < expected:
                 await asyncio.sleep(0.001)
-        await asyncio.sleep(2 * WIDTH_S)
-        assert sorted(n for n, _ in fired) == sorted(wanted)
+        await asyncio.sleep(2 * SLOT_WIDTH_S)
+        assert sorted(n for n, _ in fired) == sorted(expected)
         assert all(at >= start + delays[n][0] for n, at in fired)
-        slots = [int((start + delays[n][0]) / WIDTH_S) for n, _ in fired]
-        assert slots == sorted(slots), "in the order of their slots"
+        slots = [int((start + delays[n][0]) / SLOT_WIDTH_S) for n, _ in fired]
+        assert slots == sorted(slots), "timers did not fire in the order of their slots"
 
     asyncio.run(main())
 
 
-def test_a_timer_that_fails_keeps_no_other_from_firing():
+def test_failing_timer_does_not_keep_others_from_firing():
     async def main():
-        told, fired, loop = [], asyncio.Event(), asyncio.get_running_loop()
-        loop.set_exception_handler(lambda _, context: told.append(context["message"]))
-        wheel, now = Wheel(), loop.time()
+        reported, fired, loop = [], asyncio.Event(), asyncio.get_running_loop()
+        loop.set_exception_handler(lambda _, context: reported.append(context["message"]))
+        wheel, now = TimerWheel(), loop.time()
         wheel.call_at(now, lambda: 1 // 0)
         wheel.call_at(now, fired.set)
         async with asyncio.timeout(10):
             await fired.wait()
-        assert told == ["a timer failed by a bug"]
+        assert reported == ["unhandled exception in a timer callback"]
 
     asyncio.run(main())
 
 
-def test_timers_set_and_cancelled_from_within_a_timer():
+def test_timers_can_be_set_and_cancelled_in_a_timer_callback():
     async def main():
-        wheel, loop, fired, done = Wheel(), asyncio.get_running_loop(), [], asyncio.Event()
+        wheel, loop, fired, done = TimerWheel(), asyncio.get_running_loop(), [], asyncio.Event()
         now = loop.time()
         later = wheel.call_at(now, lambda: fired.append("cancelled"))
 
@@ -76,9 +76,9 @@
     asyncio.run(main())
 
 
-def test_a_request_costs_no_more_calls_than_it_did():
+def test_request_costs_no_more_function_calls_than_allowed():
     async def main():
-        async with place(fine, fine, fine, fine) as here:
+        async with sidecar_harness(respond_ok, respond_ok, respond_ok, respond_ok) as here:
             reader, writer = await here.connect()
 
             async def ask(first: int, count: int) -> None:
@@ -101,6 +101,6 @@
                 sys.setprofile(None)
             writer.close()
             each = sum(calls.values()) / 200
-            assert 30 < each <= CALLS, (each, calls.most_common(40))
+            assert 30 < each <= MAX_CALLS, (each, calls.most_common(40))
 
     asyncio.run(main())
