--- a/covetally/net/client_connection.py
+++ b/covetally/net/client_connection.py
@@ -79,10 +79,10 @@
     """A client connection with its state machine. Implements `Exchange` for the request that it carries."""
 
     __slots__ = (
-        "_admitted", "_arrival", "_awaits_first_request", "_body", "_body_hold", "_deadline", "_discarded",
-        "_head", "_headers", "_id_claimed", "_last_response", "_loop", "_manager", "_phase", "_tid", "_timer",
-        "_timer_at", "_upgrade", "close_after_response", "request", "request_started", "started_at", "stream",
-        "trace_id",
+        "_admitted", "_request_info", "_awaits_first_request", "_body", "_body_reservation", "_deadline",
+        "_discarded", "_head", "_headers", "_id_claimed", "_last_response", "_loop", "_manager", "_phase",
+        "_tid", "_timer", "_timer_at", "_upgrade", "close_after_response", "request", "request_started",
+        "started_at", "stream", "trace_id",
     )  # fmt: skip
 
     request: Request
@@ -91,7 +91,7 @@
         self._manager = manager
         self._loop = asyncio.get_running_loop()
         self._phase = READING
-        self._body_hold = BodyReservation(manager.budget)
+        self._body_reservation = BodyReservation(manager.budget)
         self._tid = ""  # the sidecar's id of the request in WAITING, once it is known
         self._head: RequestHead | None = None
         self._body: bytes | bytearray = b""
@@ -147,7 +147,7 @@
 
     def _release_request(self) -> None:
         """Release the body memory and the id of the current request."""
-        self._body_hold.release()
+        self._body_reservation.release()
         if self._id_claimed:
             self._id_claimed = False
             self._manager.release(self.trace_id)
@@ -294,7 +294,7 @@
     def _on_body(self, part: bytes) -> None:
         if len(self._body) + len(part) > MAX_BODY:
             raise Rejected(413, "request body too long")
-        self._body_hold.grow(len(part))
+        self._body_reservation.grow(len(part))
         self._body = append_part(self._body, part)
 
     def _on_head(self, head: RequestHead) -> None:
@@ -302,21 +302,25 @@
         upgrades = self._manager.upgrades
         if upgrades is not None and b"upgrade" in head.fields and upgrades.wants(head):
             self._upgrade = upgrade = upgrades.begin(head)
-            self._headers, self._arrival, self.trace_id = upgrade.headers, upgrade.request_info, upgrade.trace_id
+            self._headers, self._request_info, self.trace_id = (
+                upgrade.headers,
+                upgrade.request_info,
+                upgrade.trace_id,
+            )
             return
-        self._headers, self._arrival, self.trace_id = self._manager.request_validator.validate(head)
+        self._headers, self._request_info, self.trace_id = self._manager.request_validator.validate(head)
         if head.fields.get(b"expect", b"").lower() == b"100-continue":
             self.stream.send(encode(b"HTTP/1.1 100 Continue", [], b""))
 
     def _on_request_complete(self) -> None:
         """Accept or refuse a request that has been received completely."""
-        stream, manager, arrival, head = self.stream, self._manager, self._arrival, self._head
+        stream, manager, request_info, head = self.stream, self._manager, self._request_info, self._head
         assert head is not None
         upgrade = self._upgrade
         if stream.leftover and upgrade is None:
             # Guards against request smuggling: the protocol allows one request at a time on a connection.
             raise Rejected(400, "more than one request at a time")
-        if arrival is not None:
+        if request_info is not None:
             if not manager.claim(self.trace_id):
                 raise Rejected(409, "X-Trace-Id is in use by another request")
             self._id_claimed = True
@@ -324,7 +328,7 @@
         self._awaits_first_request = False
         manager.on_busy(self)
         self._phase = WAITING
-        if arrival is None:
+        if request_info is None:
             status = 503 if manager.drain_stage.draining else 200
             self.finish(
                 HttpResponse(status, TEXT_HEADERS, f"{manager.state}\n".encode() if status == 503 else b"ok\n")
@@ -333,7 +337,7 @@
         if manager.drain_stage.refusing:
             self.finish(refused(manager.refusal_ns))
             return
-        if manager.gate is not None and (hold_off_ns := manager.gate.admit(self, arrival.tenant)):
+        if manager.gate is not None and (hold_off_ns := manager.gate.admit(self, request_info.tenant)):
             self.close_after_response = True
             self.finish(refused(hold_off_ns))
             return
@@ -346,12 +350,11 @@
         else:
             self.request = Request(head.method, head.target, self._headers, bytes(body))
         self._tid = ""
-        age_ns = (
-            time.monotonic_ns() - stream.received_at
-        )  # the time limit counts from the arrival of the last byte
+        # The time limit counts from the arrival of the last byte.
+        age_ns = time.monotonic_ns() - stream.received_at
         admitted, self._admitted = self._admitted, False
-        self._tid = manager.sidecar.accept(self, arrival, age_ns, admitted, self.trace_id)
-        if self._phase is CLOSED:  # the client was found gone during `take`, before the id to cancel was known
+        self._tid = manager.sidecar.accept(self, request_info, age_ns, admitted, self.trace_id)
+        if self._phase is CLOSED:  # the client was found gone during `accept`, before the id to cancel was known
             manager.sidecar.client_left(self._tid)
 
     # --- the response ---------------------------------------------------------------------------
@@ -454,7 +457,7 @@
     def _reject(self, status: int, reason: str, more: Headers | None = None) -> None:
         """Respond to an invalid or incomplete request with an error, and close."""
         log.warning("request rejected with %d: %.200s", status, reason)
-        self._body_hold.release()
+        self._body_reservation.release()
         self._body = b""
         self._manager.on_busy(self)
         self._phase, self._last_response = WRITING, True
--- a/covetally/net/read_scheduler.py
+++ b/covetally/net/read_scheduler.py
@@ -70,6 +70,6 @@
         Refusals alone can use up all the time, so both get an equal share, as long as the newest request need not
         be refused and the oldest has not waited for a whole aim: that one is owed an answer first.
         """
-        now, old_ns = time.monotonic_ns(), self._sidecar.max_wait_ns
+        now, max_wait_ns = time.monotonic_ns(), self._sidecar.max_wait_ns
         oldest, newest = next(iter(self._queue)), next(reversed(self._queue))
-        return now - newest.stream.received_at < old_ns and now - oldest.stream.received_at < 4 * old_ns
+        return now - newest.stream.received_at < max_wait_ns and now - oldest.stream.received_at < 4 * max_wait_ns
--- a/covetally/net/request_validation.py
+++ b/covetally/net/request_validation.py
@@ -86,7 +86,7 @@
         if not expires_s:
             raise Rejected(400, "X-Expires-In missing or not a positive number")
         ttl_ns, hint = int(expires_s * SECOND), get(b"x-size-hint")
-        arrival = RequestInfo(
+        request_info = RequestInfo(
             index,
             ttl_ns if ttl_ns < cls.deadline_ns else cls.deadline_ns,
             min(int(_positive_number(hint) * 1000), MAX_COST_NS) if hint else 0,
@@ -94,7 +94,7 @@
             _session_key(target),
             get(b"x-second-try") == b"1",
         )
-        return headers, arrival, trace_id
+        return headers, request_info, trace_id
 
 
 def _forwarded_headers(head: RequestHead) -> tuple[Headers, Fields, bytes]:
--- a/tests/crossings/test_ending.py
+++ b/tests/crossings/test_ending.py
@@ -230,9 +230,8 @@
             for number in (signal.SIGHUP, signal.SIGTERM, signal.SIGTERM, signal.SIGHUP, signal.SIGTERM):
                 instance.process.send_signal(number)
                 await asyncio.sleep(0.02)
-            late = await status_of(
-                instance.address, get_request("late")
-            )  # while new connections are still accepted
+            # New connections are still accepted now.
+            late = await status_of(instance.address, get_request("late"))
             assert late in (200, 503)
             assert set(await asyncio.gather(*requests)) <= {200, 503}
             assert await instance.process.wait() == 0
