--- a/covetally/configuration.py
+++ b/covetally/configuration.py
@@ -39,34 +39,34 @@
         """That cannot be used: what to start with instead."""
 
 
-class Shape(Protocol):
-    """What a process is to have of the configuration."""
+class Scope(Protocol):
+    """Derives the configuration of one process from that of the whole sidecar."""
 
-    def config(self, whole: Config) -> Config:
-        """The configuration as it holds here."""
+    def derive_config(self, whole: Config) -> Config:
+        """Return the configuration of this process."""
 
-    def own(self, values: Values) -> Values:
-        """The operators' settings as they hold here."""
+    def derive_settings(self, values: Values) -> Values:
+        """Return the operators' settings that apply to this process."""
 
 
-class Whole:
-    """What a process is to have of the configuration where it is the whole sidecar: all of it."""
+class WholeSidecar:
+    """The scope of a process that is the whole sidecar: everything applies unchanged."""
 
-    def config(self, whole: Config) -> Config:
-        """The configuration as it holds here."""
+    def derive_config(self, whole: Config) -> Config:
+        """Return the configuration of this process."""
         return whole
 
-    def own(self, values: Values) -> Values:
-        """The operators' settings as they hold here."""
+    def derive_settings(self, values: Values) -> Values:
+        """Return the operators' settings that apply to this process."""
         return values
 
 
 class Configuration:
     """The three layers and what they make, `config`. ConfigError at the start if they cannot be used; later a bad
-    layer changes nothing. `shape` makes of the whole what this process is to have of it: a worker, its share."""
+    layer changes nothing. `scope` derives the share of this process, if it is a worker."""
 
-    def __init__(self, env: Mapping[str, str], operator: str | None, shape: Shape | None = None) -> None:
-        self._env, self._operator, self._shape = env, operator, shape or Whole()
+    def __init__(self, env: Mapping[str, str], operator: str | None, scope: Scope | None = None) -> None:
+        self._env, self._operator, self._scope = env, operator, scope or WholeSidecar()
         self.platform = load(env)
         self.own = self._read_operator()
         self.managed: Values = {}
@@ -138,8 +138,8 @@
         self.managed = managed
         self._adopt(config)
 
-    def reshape(self) -> None:
-        """`shape` has changed what it makes of the same layers."""
+    def update_scope(self) -> None:
+        """Apply a change of what `scope` derives from the same layers."""
         self._adopt(self._effective(self.platform, self.own, self.managed))
 
     def try_managed(self, managed: Values) -> None:
@@ -157,14 +157,14 @@
         from covetally.operator import check
 
         try:
-            return self._shape.own(check.read(self._operator))
+            return self._scope.derive_settings(check.read(self._operator))
         except check.OperatorError as error:
             raise ConfigError(f"{self._operator}: {error}") from None
 
     def _effective(self, platform: Config, own: Values, managed: Values) -> Config:
         """The configuration that these three make; ConfigError if it cannot be used."""
         if not own and not managed:
-            return self._shape.config(platform)
+            return self._scope.derive_config(platform)
         from covetally.operator import check
 
         try:
@@ -176,7 +176,7 @@
         """As `_effective`, of the operators' settings together; OperatorError if it cannot be used."""
         from covetally.operator import tune
 
-        config = self._shape.config(replace(platform, **tune.changes(platform, values)))
+        config = self._scope.derive_config(replace(platform, **tune.changes(platform, values)))
         _plan(values)
         _tier(config, values)
         _overload(config, values)
--- a/covetally/process.py
+++ b/covetally/process.py
@@ -54,11 +54,11 @@
 
 
 class Member(Protocol):
-    """What a worker has in common with others at its address."""
+    """What a worker shares with the other workers at its address."""
 
     listener: socket.socket
-    claims: Claims
-    alone: bool  # it ends, and the others go on
+    shared_ids: Claims
+    others_continue: bool  # only this worker ends, not the whole sidecar
 
 
 def manager_of(instance: Instance) -> Manager | None:
@@ -198,7 +198,7 @@
         if self.manager is not None:
             self.manager.restore_orders()
         if self.member is not None:
-            self.address = self.frontend.start_accepting(self.member.listener, self.member.claims)
+            self.address = self.frontend.start_accepting(self.member.listener, self.member.shared_ids)
         else:
             self.address = self.frontend.start_accepting(await self._listener())
         if self.roster is None:
@@ -347,12 +347,12 @@
 
     async def _end(self) -> None:
         log.info("%s drains", self.config.name)
-        alone = self.member is not None and self.member.alone  # others go on at the same address
+        others_continue = self.member is not None and self.member.others_continue  # at the same address
         if self.registrar is not None:
-            await self.registrar.stop(cancel=not alone)
+            await self.registrar.stop(cancel=not others_continue)
         if self.manager is not None:
             self.manager.goodbye()
-        await self.frontend.shut_down(self.configuration.shutdown.closed_s, accept=not alone)
+        await self.frontend.shut_down(self.configuration.shutdown.closed_s, accept=not others_continue)
         self.monitor.stop()
         self.discovery.stop()
         if self.tier is not None:
@@ -374,11 +374,11 @@
         """Take up what may change while requests are under way; a bad configuration changes nothing."""
         if self.configuration.reload():
             self._adopt()
-            log.info("%s has taken up its configuration anew", self.config.name)
+            log.info("%s has reloaded its configuration", self.config.name)
 
-    def reshape(self) -> None:
-        """This worker's share of the whole has changed."""
-        self.configuration.reshape()
+    def update_share(self) -> None:
+        """Apply a change of this worker's share of the whole sidecar."""
+        self.configuration.update_scope()
         self._adopt()
 
     @property
--- a/covetally/workers/__init__.py
+++ b/covetally/workers/__init__.py
@@ -1,1 +1,1 @@
-"""One sidecar on several cores: a supervisor, and workers that share one listening address."""
+"""Runs one sidecar on several cores: a supervisor and worker processes that share one listening address."""
--- a/covetally/workers/channel.py
+++ b/covetally/workers/channel.py
@@ -1,20 +1,27 @@
-"""The channel between the supervisor and a worker: a socket pair, frames as management has them.
-
-    supervisor: begin, share, manage, reload, rest, order, ask, end          worker: up, alive, reply
-
-    begin    place, count, values, resting       once, before anything else: what the worker is and starts with
-    share    place, count                        from here on it is one of so many
-    manage   values                              what an agent has set, in place of what it had
-    reload   -                                   read the files again
-    rest     resting                             tell clients to stay away, or to come back
-    order    what                                an order to the roster
-    ask      id, what                            snapshot, logs or roster; answered by a reply
-    end      whole                               drain and end; the whole sidecar ends, or this one alone
-    up       pid                                 it takes requests
-    alive    beat, every so often                it is alive, and what it has counted
-    reply    id, data
-
-The channel's end is the end of the other side.
+"""The channel between the supervisor and a worker: a socket pair that carries frames of control/protocol.py.
+
+    from the supervisor
+    message   fields                           meaning
+    -------   ------                           -------
+    begin     place, count, values, drained,   first message, sent once: the worker's slot, the number of slots,
+              order                            the agent's settings, whether to reject clients, the roster order
+    share     place, count                     the worker's slot and the number of slots have changed
+    manage    values                           the agent's settings, in place of the previous ones
+    reload    -                                read the configuration files again
+    drain     within_s                         ask clients to leave; close their connections within this time
+    resume    -                                accept clients again
+    order     what                             an operator's order for the roster
+    ask       id, what                         request a snapshot, the roster or the logs; answered by `reply`
+    end       whole                            drain and exit; `whole` if the entire sidecar is shutting down
+
+    from the worker
+    message   fields                           meaning
+    -------   ------                           -------
+    up        pid                              it accepts requests
+    alive     beat                             periodic heartbeat with the worker's counts
+    reply     id, data                         the result of the `ask` with this id
+
+When one side exits or closes the channel, the other side reads the end of the stream.
 """
 
 from __future__ import annotations
@@ -28,12 +35,16 @@
 
 log = logging.getLogger(__name__)
 
-MAX_UNREAD = 1024 * 1024  # of a side that does not read
-MAX_FRAME = 8 * 1024 * 1024  # a snapshot with thousands of nodes
+MAX_UNREAD_BYTES = 1024 * 1024  # buffered for a side that does not read
+MAX_FRAME = 8 * 1024 * 1024  # large enough for a snapshot with thousands of nodes
 
 
 class Channel:
-    """One end. `on_message` has each message, `on_end` is called once, when the other side has gone."""
+    """One end of the channel.
+
+    `on_message` receives each message. `on_end` is called once, after the other side has closed or the channel
+    has failed.
+    """
 
     def __init__(self, on_message: Callable[[Message], None], on_end: Callable[[], None]) -> None:
         self._on_message, self._on_end = on_message, on_end
@@ -41,7 +52,7 @@
         self._task: asyncio.Task[None] | None = None
 
     async def open(self, sock: socket.socket) -> None:
-        """Take over a connected socket and begin to read."""
+        """Take over a connected socket and start reading."""
         reader, self._writer = await asyncio.open_connection(sock=sock)
         self._task = asyncio.create_task(self._read(reader))
 
@@ -52,22 +63,22 @@
                 for message in decoder.feed(data):
                     self._on_message(message)
         except (OSError, ProtocolError) as error:
-            log.error("the channel broke: %s", error)
+            log.error("channel between supervisor and worker failed: %s", error)
         except Exception:
-            log.exception("the channel failed by a bug")
+            log.exception("unexpected error on the channel between supervisor and worker")
         self.close()
         self._on_end()
 
     def send(self, t: str, **more: object) -> None:
-        """Send a message; nothing happens if the other side has gone or does not read."""
+        """Send a message of type `t`; drop it if the other side is gone or is not reading."""
         writer = self._writer
         if writer is None or writer.is_closing():
             return
-        if writer.transport.get_write_buffer_size() > MAX_UNREAD:
-            return  # it hangs, and will be found to
+        if writer.transport.get_write_buffer_size() > MAX_UNREAD_BYTES:
+            return  # the other side hangs: the supervisor's heartbeat check handles that
         writer.write(encode({"t": t} | more, MAX_FRAME))
 
     def close(self) -> None:
-        """End it from this side."""
+        """Close this end."""
         if self._writer is not None:
             self._writer.transport.abort()
--- a/covetally/workers/member.py
+++ b/covetally/workers/member.py
@@ -1,9 +1,10 @@
-"""A worker's side: one sidecar process that has a share of the whole.
+"""The worker process: a sidecar process that has a share of the limits of the whole sidecar.
 
-    python -m covetally.workers.member CHANNEL LISTENER IDS [OPERATORS' FILE]
+    python -m covetally.workers.member CHANNEL LISTENER IDS [OPERATOR_FILE]
 
-The numbers are descriptors that it inherits. It is started by the supervisor only. When the supervisor is gone it
-drains and ends, and closes the listener first: whatever starts the sidecar again finds the address free.
+CHANNEL, LISTENER and IDS are the numbers of inherited descriptors. Only the supervisor starts workers. When the
+supervisor exits, the worker closes the listener first, then drains and exits. A restarted sidecar can therefore
+bind the address.
 """
 
 from __future__ import annotations
@@ -24,120 +25,123 @@
 from covetally.net.loop import run
 from covetally.process import Process
 from covetally.workers.channel import Channel
-from covetally.workers.claims import SharedIds
-from covetally.workers.crew import HANG_S, part
+from covetally.workers.shared_ids import SharedIds
+from covetally.workers.worker_pool import DEFAULT_HANG_TIMEOUT_S, share_of
 
 if TYPE_CHECKING:
     from covetally.operator.schema import Values
 
 log = logging.getLogger("covetally")
 
-BEATS = 10  # in the time after which a worker that says nothing is held to hang
+HEARTBEATS_PER_HANG_TIMEOUT = 10
 
 
 class Member:
-    """Place, count, and what is shared with the others."""
+    """A worker's slot, the number of slots, and the resources that it shares with the other workers."""
 
-    def __init__(self, listener: socket.socket, claims: SharedIds) -> None:
-        self.listener, self.claims = listener, claims
-        self.place, self.count = 0, 1
-        self.alone = False  # it ends, and the others go on
+    def __init__(self, listener: socket.socket, shared_ids: SharedIds) -> None:
+        self.listener, self.shared_ids = listener, shared_ids
+        self.slot, self.count = 0, 1
+        self.others_continue = False  # only this worker ends, not the whole sidecar
 
     @property
-    def first(self) -> bool:
-        """Whether it does what only one of all may do: a registration, the kept roster, the peers' address."""
-        return self.place == 0
+    def is_first(self) -> bool:
+        """Whether it has the tasks of only one worker: the registration, the tier and the peer address."""
+        return self.slot == 0
 
-    def config(self, whole: Config) -> Config:
-        """This worker's share of the whole sidecar's configuration."""
-        place, count = self.place, self.count
+    def derive_config(self, whole: Config) -> Config:
+        """Return this worker's share of the whole sidecar's configuration."""
+        slot, count = self.slot, self.count
         return replace(
             whole,
-            name=f"{whole.name}/{place}",
-            seed=whole.seed + place,
-            client_connections=part(whole.client_connections, place, count),
-            server_connections=part(whole.server_connections, place, count),
-            body_memory=part(whole.body_memory, place, count),
-            peer_listen=whole.peer_listen if self.first else None,
+            name=f"{whole.name}/{slot}",
+            seed=whole.seed + slot,
+            client_connections=share_of(whole.client_connections, slot, count),
+            server_connections=share_of(whole.server_connections, slot, count),
+            body_memory=share_of(whole.body_memory, slot, count),
+            peer_listen=whole.peer_listen if self.is_first else None,
             settings=replace(whole.settings, budget_share=1.0 / count),
         )
 
-    def own(self, values: Values) -> Values:
-        """The operators' settings as they hold here."""
-        kept = {n: v for n, v in values.items() if self.first or not n.startswith(("register.", "tier."))}
-        if "roster.keep" in kept and not self.first:
-            kept["roster.keep"] = f"{kept['roster.keep']}.{self.place}"
+    def derive_settings(self, values: Values) -> Values:
+        """Return the operators' settings that apply to this worker."""
+        kept = {n: v for n, v in values.items() if self.is_first or not n.startswith(("register.", "tier."))}
+        if "roster.keep" in kept and not self.is_first:
+            kept["roster.keep"] = f"{kept['roster.keep']}.{self.slot}"
         return kept
 
 
-class Worker:
-    """The process of a member and its channel."""
+class WorkerProcess:
+    """Connects a sidecar process to its supervisor's channel."""
 
     def __init__(self, member: Member, operator: str | None) -> None:
         self._member, self._operator = member, operator
-        self._channel = Channel(self._heard, self._orphaned)
-        self._begun: asyncio.Future[Message] = asyncio.get_running_loop().create_future()
-        self._early: list[Message] = []
+        self._channel = Channel(self._on_message, self._on_supervisor_exit)
+        self._begin_message: asyncio.Future[Message] = asyncio.get_running_loop().create_future()
+        self._deferred: list[Message] = []
         self._process: Process | None = None
         self._gauges: Gauges
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def run(self, channel: socket.socket) -> None:
-        """Serve until told to end; ConfigError if it cannot."""
+        """Serve until asked to end. Raises ConfigError if the configuration cannot be used."""
         await self._channel.open(channel)
-        first = await self._begun
+        begin = await self._begin_message
         member = self._member
-        member.place, member.count = first["place"], first["count"]
+        member.slot, member.count = begin["place"], begin["count"]
         configuration = Configuration(os.environ, self._operator, member)
-        if first["values"]:
-            configuration.manage(first["values"])
+        if begin["values"]:
+            configuration.manage(begin["values"])
         self._process = process = Process(configuration, member)
         self._gauges = process.gauges()
-        process.on_ready = self._up
-        if first["drained"]:
+        process.on_ready = self._on_ready
+        if begin["drained"]:
             process.start_drained()
-        if first["order"] == "hold":
-            self._early.append({"t": "order", "what": first["order"]})
+        if begin["order"] == "hold":
+            self._deferred.append({"t": "order", "what": begin["order"]})
         await process.run()
 
-    def _up(self) -> None:
+    def _on_ready(self) -> None:
         self._gauges.start()
         self._channel.send("up", pid=os.getpid())
-        self._beat()
-        for message in self._early:
-            self._carry_out(message)
+        self._send_heartbeat()
+        for message in self._deferred:
+            self._apply(message)
 
-    def _beat(self) -> None:
+    def _send_heartbeat(self) -> None:
         assert self._process is not None
         self._channel.send("alive", beat=self._gauges.beat())
-        every_s = float(self._process.values.get("workers.hang_s", HANG_S)) / BEATS
-        asyncio.get_running_loop().call_later(every_s, self._beat)
+        interval_s = (
+            float(self._process.values.get("workers.hang_s", DEFAULT_HANG_TIMEOUT_S))
+            / HEARTBEATS_PER_HANG_TIMEOUT
+        )
+        asyncio.get_running_loop().call_later(interval_s, self._send_heartbeat)
 
-    def _orphaned(self) -> None:
+    def _on_supervisor_exit(self) -> None:
         log.error("the supervisor is gone: this worker drains and ends")
         if self._process is None:
-            os._exit(1)  # nothing was taken yet
+            os._exit(1)  # it has not accepted anything yet
         self._process.end()
 
-    def _heard(self, message: Message) -> None:
-        if not self._begun.done():
-            self._begun.set_result(message)
+    def _on_message(self, message: Message) -> None:
+        if not self._begin_message.done():
+            self._begin_message.set_result(message)
         elif self._process is None or not self._process.serving:
-            self._early.append(message)
+            self._deferred.append(message)
         else:
-            self._carry_out(message)
+            self._apply(message)
 
-    def _carry_out(self, message: Message) -> None:
+    def _apply(self, message: Message) -> None:
         process, member = self._process, self._member
         assert process is not None
         match message["t"]:
             case "share":
-                member.place, member.count = message["place"], message["count"]
-                process.reshape()
+                member.slot, member.count = message["place"], message["count"]
+                process.update_share()
             case "manage":
                 try:
                     process.manage(message["values"])
-                except ConfigError as error:  # the supervisor has checked it: the file has changed in between
+                except ConfigError as error:  # the file has changed since the supervisor checked the values
                     log.error("%s: the old configuration stays", error)
             case "reload":
                 process.reload()
@@ -148,14 +152,14 @@
             case "order":
                 process.order(message["what"])
             case "end":
-                member.alone = not message["whole"]
+                member.others_continue = not message["whole"]
                 process.end()
             case "ask":
-                task = asyncio.create_task(self._answer(message["id"], message["what"]))
+                task = asyncio.create_task(self._reply(message["id"], message["what"]))
                 self._tasks.add(task)
                 task.add_done_callback(self._tasks.discard)
 
-    async def _answer(self, number: int, what: str) -> None:
+    async def _reply(self, ask_id: int, what: str) -> None:
         assert self._process is not None
         if what == "snapshot":
             data: object = await self._gauges.snapshot()
@@ -163,19 +167,19 @@
             data = await self._process.roster_table()
         else:
             data = await self._gauges.logs()
-        self._channel.send("reply", id=number, data=data)
+        self._channel.send("reply", id=ask_id, data=data)
 
 
-async def _run(words: list[str]) -> None:
-    channel, listener, ids = (int(word) for word in words[:3])
+async def _run(arguments: list[str]) -> None:
+    channel, listener, ids = (int(argument) for argument in arguments[:3])
     member = Member(socket.socket(fileno=listener), SharedIds(ids))
     member.listener.setblocking(False)
-    operator = words[3] if len(words) > 3 else None
-    await Worker(member, operator).run(socket.socket(fileno=channel))
+    operator = arguments[3] if len(arguments) > 3 else None
+    await WorkerProcess(member, operator).run(socket.socket(fileno=channel))
 
 
 def main() -> int:
-    """Exit status: 0 after an end in good order, 2 if it cannot be configured."""
+    """Run a worker and return its exit status: 0 after a drain, 2 if the configuration cannot be used."""
     set_up()
     try:
         run(_run(sys.argv[1:]))
--- a/tests/control/test_manager.py
+++ b/tests/control/test_manager.py
@@ -300,7 +300,7 @@
             reader, writer, _ = await agent.link()
             await agent.apply(reader, writer, 1, {"limits.max_attempts": 2})
             world.instances["a0"].process.send_signal(signal.SIGHUP)
-            while "taken up its configuration anew" not in world.instances["a0"].log:
+            while "reloaded its configuration" not in world.instances["a0"].log:
                 await asyncio.sleep(0.02)
             agent.send(writer, t="ask", id=1, what="snapshot")
             assert (await agent.read(reader, "answer"))["data"]["limits"]["max_attempts"] == 2
--- a/tests/crossings/test_ending.py
+++ b/tests/crossings/test_ending.py
@@ -207,7 +207,7 @@
                 log += line
                 if b"early ready" in line:
                     await asyncio.to_thread(write)  # the process reads its configuration again
-                if b"taken up its configuration anew" in line:
+                if b"reloaded its configuration" in line:
                     break
             else:
                 pytest.fail(f"the process ended with {await process.wait()}: {log!r}")
--- a/tests/incidents/test_lost_signal.py
+++ b/tests/incidents/test_lost_signal.py
@@ -42,7 +42,7 @@
         assert it.instance.process is not None
         it.instance.process.send_signal(signal.SIGHUP)
         limit = time.monotonic() + RELOAD_S
-        while "has taken up its configuration anew" not in it.instance.log:
+        while "has reloaded its configuration" not in it.instance.log:
             assert time.monotonic() < limit, "SIGHUP was not heard"
             await asyncio.sleep(0.02)
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -56,7 +56,7 @@
                 assert got.startswith(b"HTTP/1.1 200"), got
             process.write()
             process.signal(1)
-            await wait_until(lambda: b"taken up its configuration" in process.log.read_bytes())
+            await wait_until(lambda: b"reloaded its configuration" in process.log.read_bytes())
             assert (await process.ask(request(trace="after"))).startswith(b"HTTP/1.1 200")
             assert await process.end() == 0
 
--- a/tests/workers/test_managed.py
+++ b/tests/workers/test_managed.py
@@ -1,4 +1,4 @@
-"""A sidecar of several workers is one instance to its agent."""
+"""Tests that a sidecar of several workers is one instance to its agent."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 WORKERS = "\n[workers]\ncount = 2\n"
 
 
-async def beat_with(agent, reader, count: int) -> dict:
-    """The first beat that tells of so many serving workers and no others."""
+async def heartbeat_with(agent, reader, count: int) -> dict:
+    """Return the first heartbeat that lists exactly `count` workers, all serving."""
     while True:
-        beat = await agent.read(reader, "beat")
-        if [w["state"] for w in beat["workers"]] == ["serving"] * count:
-            return beat
+        heartbeat = await agent.read(reader, "beat")
+        if [w["state"] for w in heartbeat["workers"]] == ["serving"] * count:
+            return heartbeat
 
 
 async def ask(agent, reader, writer, what: str) -> dict:
@@ -22,25 +22,25 @@
     return (await agent.read(reader, "answer"))["data"]
 
 
-def test_a_rollout_changes_the_number_of_workers_and_their_settings():
+def test_an_agent_changes_the_number_of_workers_and_their_settings():
     async def main():
         async with managed(WORKERS) as (_, agent):
             reader, writer, hello = await agent.link()
             assert hello["name"] == "a0"
-            await beat_with(agent, reader, 2)
+            await heartbeat_with(agent, reader, 2)
             values = {"workers.count": 3, "limits.client_connections": 30}
             assert (await agent.apply(reader, writer, 1, values))["outcome"] == "took"
-            beat = await beat_with(agent, reader, 3)
-            assert sorted(w["place"] for w in beat["workers"]) == [0, 1, 2]
-            found = await ask(agent, reader, writer, "snapshot")
-            assert found["limits"]["client_connections"][1] == 30, "their parts make the whole"
-            assert len(found["workers"]) == 3 and len({w["pid"] for w in found["workers"]}) == 3
-            assert {n["node"] for n in found["nodes"]} == {"n0", "n1"}
+            heartbeat = await heartbeat_with(agent, reader, 3)
+            assert sorted(w["place"] for w in heartbeat["workers"]) == [0, 1, 2]
+            snapshot = await ask(agent, reader, writer, "snapshot")
+            assert snapshot["limits"]["client_connections"][1] == 30, "the shares add up to the whole"
+            assert len(snapshot["workers"]) == 3 and len({w["pid"] for w in snapshot["workers"]}) == 3
+            assert {n["node"] for n in snapshot["nodes"]} == {"n0", "n1"}
             assert (await ask(agent, reader, writer, "roster"))["level"] == "direct"
             assert any("is up" in line["text"] for line in await ask(agent, reader, writer, "logs"))
             assert (await agent.apply(reader, writer, 2, {"workers.count": 1}))["outcome"] == "took"
-            beat = await beat_with(agent, reader, 1)
-            assert beat["deaths"] == 0
+            heartbeat = await heartbeat_with(agent, reader, 1)
+            assert heartbeat["deaths"] == 0
             ack = await agent.apply(reader, writer, 3, {"workers.count": 0})
             assert (ack["outcome"], ack["errors"][0]["key"]) == ("refused", "workers.count")
 
