--- a/covetally/__main__.py
+++ b/covetally/__main__.py
@@ -1,4 +1,4 @@
-"""One sidecar process: its command line, its log, its exit status."""
+"""The command line of the sidecar: `python -m covetally [--operator FILE]`."""
 
 from __future__ import annotations
 
@@ -7,17 +7,20 @@
 
 from covetally.net import startup_signals
 
-startup_signals.record_sighup()  # before the imports that take their time
+startup_signals.record_sighup()  # before the slow imports, during which SIGHUP would end the process
 
 from covetally.configuration import Configuration  # noqa: E402
-from covetally.logs import set_up  # noqa: E402
+from covetally.logs import configure_logging  # noqa: E402
 from covetally.net.config import ConfigError  # noqa: E402
 from covetally.net.loop import run  # noqa: E402
 from covetally.process import Process  # noqa: E402
 
 
 def operator_file(arguments: list[str]) -> str | None:
-    """The operators' file, from `--operator FILE` or COVETALLY_OPERATOR; ConfigError on anything else."""
+    """Return the path of the operators' file, from `--operator FILE` or COVETALLY_OPERATOR.
+
+    Raises ConfigError on any other arguments.
+    """
     match arguments:
         case []:
             return os.environ.get("COVETALLY_OPERATOR") or None
@@ -27,7 +30,7 @@
 
 
 async def serve(operator: str | None) -> None:
-    """Run one sidecar until it is told to end; ConfigError if it cannot be started."""
+    """Run one sidecar until it is asked to end. Raises ConfigError if it cannot start."""
     configuration = Configuration(os.environ, operator)
     if "workers.count" in configuration.own:
         from covetally.workers.supervisor import Supervisor
@@ -38,8 +41,8 @@
 
 
 def main() -> int:
-    """Entry point of `python -m covetally`."""
-    set_up()
+    """Run the sidecar and return its exit status: 0 after a drain, 2 if it cannot start."""
+    configure_logging()
     try:
         run(serve(operator_file(sys.argv[1:])))
     except ConfigError as error:
--- a/covetally/control/gauges.py
+++ b/covetally/control/gauges.py
@@ -102,7 +102,7 @@
             "counts": self.counts(),
             "shed": process.frontend.shed_requests,
             "open": process.sidecar.open_requests,
-            "lag_ms": round(process.monitor.take_worst_s() * 1000, 1),
+            "lag_ms": round(process.monitor.take_max_delay_s() * 1000, 1),
             "state": process.state,
         } | ({"roster": process.roster.brief()} if process.roster is not None else {})
 
@@ -139,7 +139,7 @@
                 }
                 for b in process.sidecar.server_statuses()
             ],
-            "held_up": {"count": process.monitor.held_up, "longest_s": round(process.monitor.longest_s, 3)},
+            "held_up": {"count": process.monitor.stalls, "longest_s": round(process.monitor.longest_stall_s, 3)},
             "violations": process.sidecar.violations.table(),
             "closed": {reason.value: count for reason, count in process.frontend.closed.items()},
             "errors": list(self.ring.errors),
--- a/covetally/loop_monitor.py
+++ b/covetally/loop_monitor.py
@@ -1,7 +1,7 @@
-"""A heartbeat of the event loop: it bounds how long the loop sleeps, and tells how late it ran.
+"""Monitors the event loop with a periodic timer, which also bounds how long the loop sleeps.
 
-A loop that stands still serves nobody and hears no signal. Whether the process was busy itself or was kept from
-running (stopped, short of CPU, blocked in a call) is told apart by the processor time that it used meanwhile.
+A stalled loop serves no requests and handles no signals. The CPU time used during a stall shows whether the
+process itself was busy or was kept from running (stopped, short of CPU, or blocked in a system call).
 """
 
 from __future__ import annotations
@@ -12,49 +12,49 @@
 
 log = logging.getLogger("covetally")
 
-WAKE_S = 0.1
-HELD_UP_S = 0.15  # as long as a process may be held up by the platform's terms: more is logged
+INTERVAL_S = 0.1
+STALL_S = 0.15  # the platform may delay a process for this long; a longer delay is logged
 
 
 class LoopMonitor:
-    """Runs from `start` to `stop`. All times are seconds."""
+    """Measures the loop's delay between `start` and `stop`. All times are in seconds."""
 
     def __init__(self) -> None:
-        self.held_up = 0  # how often the loop ran late by HELD_UP_S or more,
-        self.longest_s = 0.0  # and the most that it ever was
-        self._worst_s = 0.0
-        self._due = 0.0
+        self.stalls = 0  # delays of STALL_S or more
+        self.longest_stall_s = 0.0
+        self._max_delay_s = 0.0  # since `take_max_delay_s`
+        self._deadline = 0.0
         self._cpu_s = 0.0
         self._timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
-        """Begin to watch the running loop; once is enough."""
+        """Start monitoring the running loop; further calls have no effect."""
         if self._timer is None:
-            self._wait()
+            self._schedule()
 
     def stop(self) -> None:
-        """Watch no more."""
+        """Stop monitoring."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
 
-    def take_worst_s(self) -> float:
-        """The most that the loop was late since this was last asked for."""
-        worst_s, self._worst_s = self._worst_s, 0.0
-        return worst_s
+    def take_max_delay_s(self) -> float:
+        """Return the loop's longest delay since the last call."""
+        max_delay_s, self._max_delay_s = self._max_delay_s, 0.0
+        return max_delay_s
 
-    def _wait(self) -> None:
+    def _schedule(self) -> None:
         loop = asyncio.get_running_loop()
-        self._due = loop.time() + WAKE_S
+        self._deadline = loop.time() + INTERVAL_S
         self._cpu_s = time.thread_time()
-        self._timer = loop.call_at(self._due, self._wake)
-
-    def _wake(self) -> None:
-        late_s = max(0.0, asyncio.get_running_loop().time() - self._due)
-        self._worst_s = max(self._worst_s, late_s)
-        if late_s >= HELD_UP_S:
-            self.held_up += 1
-            self.longest_s = max(self.longest_s, late_s)
-            used_s = time.thread_time() - self._cpu_s
-            log.warning("the event loop was held up for %.3f s, %.3f s of it at work", late_s, used_s)
-        self._wait()
+        self._timer = loop.call_at(self._deadline, self._tick)
+
+    def _tick(self) -> None:
+        delay_s = max(0.0, asyncio.get_running_loop().time() - self._deadline)
+        self._max_delay_s = max(self._max_delay_s, delay_s)
+        if delay_s >= STALL_S:
+            self.stalls += 1
+            self.longest_stall_s = max(self.longest_stall_s, delay_s)
+            cpu_s = time.thread_time() - self._cpu_s
+            log.warning("the event loop was held up for %.3f s, %.3f s of it at work", delay_s, cpu_s)
+        self._schedule()
--- a/covetally/workers/member.py
+++ b/covetally/workers/member.py
@@ -20,7 +20,7 @@
 from covetally.configuration import Configuration
 from covetally.control.gauges import Gauges
 from covetally.control.protocol import Message
-from covetally.logs import set_up
+from covetally.logs import configure_logging
 from covetally.net.config import Config, ConfigError
 from covetally.net.loop import run
 from covetally.process import Process
@@ -180,7 +180,7 @@
 
 def main() -> int:
     """Run a worker and return its exit status: 0 after a drain, 2 if the configuration cannot be used."""
-    set_up()
+    configure_logging()
     try:
         run(_run(sys.argv[1:]))
     except ConfigError as error:
--- a/tests/incidents/test_lost_signal.py
+++ b/tests/incidents/test_lost_signal.py
@@ -1,6 +1,6 @@
-"""A signal holds though the write by which it wakes the event loop fails.
+"""A signal is handled even if the write that wakes the event loop fails.
 
-CPython's signal handler writes one byte to the loop and ignores whether that could be done.
+CPython's signal handler writes one byte to the loop's socket pair and ignores a failure of that write.
 """
 
 from __future__ import annotations
@@ -18,39 +18,41 @@
 RELOAD_S = 2.0
 
 
-async def end(number: signal.Signals, busy: bool) -> None:
-    """A process that is told to end, with requests under way or with nothing to do."""
-    async with sidecar_with_hung_nodes(LONGEST_S, LOST_WAKEUP) as it:
-        clients = [await it.connect() for _ in range(3)] if busy else []
-        asked = [
+async def check_shutdown(number: signal.Signals, busy: bool) -> None:
+    """Check that a process shuts down on this signal, with open requests (`busy`) or idle."""
+    async with sidecar_with_hung_nodes(LONGEST_S, LOST_WAKEUP) as run:
+        clients = [await run.connect() for _ in range(3)] if busy else []
+        exchanges = [
             asyncio.create_task(client.exchange(f"r{i}", encode_request(f"r{i}", "free", LONGEST_S)))
             for i, client in enumerate(clients)
         ]
         await asyncio.sleep(0.05 if busy else 1.0)
-        await it.terminate(number)
-        await asyncio.gather(*asked)
-        it.check(clients)
+        await run.terminate(number)
+        await asyncio.gather(*exchanges)
+        run.check(clients)
 
 
-async def reload() -> None:
-    """A process that is told of a new configuration."""
-    async with sidecar_with_hung_nodes(LONGEST_S, LOST_WAKEUP) as it:
-        path = it.instance.folder / "config.json"
+async def check_reload() -> None:
+    """Check that a process reloads its configuration on SIGHUP."""
+    async with sidecar_with_hung_nodes(LONGEST_S, LOST_WAKEUP) as run:
+        path = run.instance.folder / "config.json"
         config = json.loads(path.read_text())
-        config["discovery"] = f"127.0.0.1:{await it.world.move_discovery('a0')}"
+        config["discovery"] = f"127.0.0.1:{await run.world.move_discovery('a0')}"
         path.write_text(json.dumps(config))
-        assert it.instance.process is not None
-        it.instance.process.send_signal(signal.SIGHUP)
-        limit = time.monotonic() + RELOAD_S
-        while "has reloaded its configuration" not in it.instance.log:
-            assert time.monotonic() < limit, "SIGHUP was not heard"
+        assert run.instance.process is not None
+        run.instance.process.send_signal(signal.SIGHUP)
+        deadline = time.monotonic() + RELOAD_S
+        while "has reloaded its configuration" not in run.instance.log:
+            assert time.monotonic() < deadline, "SIGHUP was not handled"
             await asyncio.sleep(0.02)
 
 
-def test_a_signal_is_heard_though_the_write_that_wakes_the_loop_fails():
+def test_signals_are_handled_even_if_the_write_that_wakes_the_loop_fails():
     async def main():
-        ends = [end(number, busy) for number in (signal.SIGTERM, signal.SIGINT) for busy in (True, False)]
-        results = await asyncio.gather(*ends, reload(), return_exceptions=True)
+        shutdowns = [
+            check_shutdown(number, busy) for number in (signal.SIGTERM, signal.SIGINT) for busy in (True, False)
+        ]
+        results = await asyncio.gather(*shutdowns, check_reload(), return_exceptions=True)
         failed = [repr(result)[:300] for result in results if isinstance(result, BaseException)]
         assert not failed, "\n".join(failed)
 
