--- a/covetally/__main__.py
+++ b/covetally/__main__.py
@@ -32,7 +32,7 @@
 async def serve(operator: str | None) -> None:
     """Run one sidecar until it is asked to end. Raises ConfigError if it cannot start."""
     configuration = Configuration(os.environ, operator)
-    if "workers.count" in configuration.own:
+    if "workers.count" in configuration.file_settings:
         from covetally.workers.supervisor import Supervisor
 
         await Supervisor(configuration, operator).run()
--- a/covetally/configuration.py
+++ b/covetally/configuration.py
@@ -1,7 +1,7 @@
-"""What one sidecar runs with, read and read again: three layers, one over the other.
+"""The configuration of one sidecar: three layers, each of which overrides the one before.
 
-The platform's configuration, the operators' file over it, and over that what an agent has set. The operators'
-part is imported where there is any.
+The layers are the platform's configuration, the operators' file, and the settings of an agent. The package
+`covetally.operator` is imported only if there are operators' settings.
 """
 
 from __future__ import annotations
@@ -17,26 +17,27 @@
 
 if TYPE_CHECKING:
     from covetally.caps.settings import Plan as Caps
-    from covetally.membership.settings import Plan
+    from covetally.membership.settings import Plan as Membership
     from covetally.operator.schema import Values
     from covetally.overload.settings import Plan as Overload
     from covetally.tier.settings import Plan as Tier
 
 log = logging.getLogger("covetally")
 
-FIXED = ("name", "listen", "peer_listen", "sockets", "memory", "load_fields", "backlog")  # until a restart
-assert set(FIXED) <= {f.name for f in fields(Config)}
-NO_ROSTER = "roster.source is not set: the platform's list is believed at once"
+# A change of these takes effect only after a restart.
+RESTART_ONLY = ("name", "listen", "peer_listen", "sockets", "memory", "load_fields", "backlog")
+assert set(RESTART_ONLY) <= {f.name for f in fields(Config)}
+NO_ROSTER = "roster.source is not set: the platform's list is applied directly"
 
 
-class Memory(Protocol):
-    """What an agent has set, as it outlived the process before."""
+class SavedSettings(Protocol):
+    """The agent's settings that were saved by the previous process."""
 
     def at_start(self) -> Values:
-        """What to start with."""
+        """Return the settings to start with."""
 
     def unusable(self, reason: str) -> Values:
-        """That cannot be used: what to start with instead."""
+        """Report that the settings cannot be used, and return those to start with instead."""
 
 
 class Scope(Protocol):
@@ -62,59 +63,65 @@
 
 
 class Configuration:
-    """The three layers and what they make, `config`. ConfigError at the start if they cannot be used; later a bad
-    layer changes nothing. `scope` derives the share of this process, if it is a worker."""
+    """The three layers, and `config`, which results from them.
+
+    The constructor raises ConfigError if the layers cannot be used; later, an invalid layer changes nothing.
+    `scope` derives the share of this process, if it is a worker.
+    """
 
     def __init__(self, env: Mapping[str, str], operator: str | None, scope: Scope | None = None) -> None:
         self._env, self._operator, self._scope = env, operator, scope or WholeSidecar()
         self.platform = load(env)
-        self.own = self._read_operator()
+        self.file_settings = self._read_operator()
         self.managed: Values = {}
-        self.config = self._effective(self.platform, self.own, {})
+        self.config = self._build_config(self.platform, self.file_settings, {})
 
-    def recall(self, memory: Memory) -> None:
-        """Start with what an agent had set. It must not keep a sidecar from starting."""
-        self.managed = memory.at_start()
+    def restore_managed(self, saved: SavedSettings) -> None:
+        """Start with the agent's saved settings. Unusable ones must not prevent the sidecar from starting."""
+        self.managed = saved.at_start()
         while self.managed:
             try:
-                self.config = self._effective(self.platform, self.own, self.managed)
+                self.config = self._build_config(self.platform, self.file_settings, self.managed)
                 return
             except ConfigError as error:
-                self.managed = memory.unusable(str(error))
+                self.managed = saved.unusable(str(error))
 
     @property
     def values(self) -> Values:
-        """The operators' settings in force, the agent's over those of the file."""
-        return self.own | self.managed
+        """The operators' settings in force: those of the file, overridden by the agent's."""
+        return self.file_settings | self.managed
 
     @property
-    def plan(self) -> Plan | None:
-        """What the operators want of membership; None where the platform's list is believed at once."""
-        return _plan(self.values)
+    def membership(self) -> Membership | None:
+        """The membership settings; None if the platform's server list is applied directly."""
+        return _membership(self.values)
 
     @property
     def tier(self) -> Tier | None:
-        """How this sidecar takes part in its tier; None where it does not."""
+        """The tier settings; None if this sidecar takes no part in a tier."""
         return _tier(self.config, self.values)
 
     @property
     def overload(self) -> Overload | None:
-        """How this sidecar takes part in the fleet's overload line; None where it does not."""
+        """The settings of the fleet's overload threshold; None if this sidecar takes no part in it."""
         return _overload(self.config, self.values)
 
     @property
     def caps(self) -> Caps | None:
-        """How this sidecar takes part in workshops' connection caps; None where there are none."""
+        """The connection caps of tenants; None if there are none."""
         return _caps(self.config, self.values)
 
     @property
     def shutdown(self) -> ShutdownTimes:
-        """How long the end of the process may take. By the platform's settings: a call may be older than a change
-        of its class's deadline."""
+        """The time limits of a shutdown.
+
+        They follow from the platform's deadlines, without the operators' changes: an open call may have been
+        accepted before its class's deadline was changed.
+        """
         return shutdown_times(max(c.deadline_ns for c in self.platform.settings.classes) / SECOND)
 
     def reload(self) -> bool:
-        """Read both files again; False, and nothing changed, if they cannot be used."""
+        """Read both files again. Return False and change nothing if they cannot be used."""
         try:
             self._reread()
         except ConfigError as error:
@@ -123,33 +130,32 @@
         return True
 
     def _reread(self) -> None:
-        platform, own = load(self._env), self._unmoved(self._read_operator())
+        platform, file_settings = load(self._env), self._keep_restart_only(self._read_operator())
         if platform.settings != self.platform.settings:
             log.warning("reload: settings has changed, which takes a restart")
             platform = replace(platform, settings=self.platform.settings)
-        config = self._effective(platform, own, self.managed)
-        self.platform, self.own = platform, own
-        self._adopt(config)
+        config = self._build_config(platform, file_settings, self.managed)
+        self.platform, self.file_settings = platform, file_settings
+        self._set_config(config)
 
     def manage(self, managed: Values) -> None:
-        """Take up what the agent has set, in place of what it had; ConfigError, and nothing changed, if it cannot
-        be used."""
-        config = self._effective(self.platform, self.own, managed)
+        """Replace the agent's settings. Raises ConfigError and changes nothing if they cannot be used."""
+        config = self._build_config(self.platform, self.file_settings, managed)
         self.managed = managed
-        self._adopt(config)
+        self._set_config(config)
 
     def update_scope(self) -> None:
         """Apply a change of what `scope` derives from the same layers."""
-        self._adopt(self._effective(self.platform, self.own, self.managed))
+        self._set_config(self._build_config(self.platform, self.file_settings, self.managed))
 
-    def try_managed(self, managed: Values) -> None:
-        """OperatorError if what the agent wants could not be used here; nothing changes."""
+    def check_managed(self, managed: Values) -> None:
+        """Raise OperatorError if the agent's settings cannot be used here. Changes nothing."""
         from covetally.operator import check
 
-        if "workers.count" in managed and "workers.count" not in self.own:
-            reason = "takes a supervisor, which this sidecar has only if its own file names a number"
+        if "workers.count" in managed and "workers.count" not in self.file_settings:
+            reason = "needs a supervisor, which this sidecar has only if its own file sets workers.count"
             raise check.OperatorError([check.Problem("workers.count", managed["workers.count"], reason)])
-        self._made(self.platform, self.own | managed)
+        self._apply_settings(self.platform, self.file_settings | managed)
 
     def _read_operator(self) -> Values:
         if self._operator is None:
@@ -161,110 +167,115 @@
         except check.OperatorError as error:
             raise ConfigError(f"{self._operator}: {error}") from None
 
-    def _effective(self, platform: Config, own: Values, managed: Values) -> Config:
-        """The configuration that these three make; ConfigError if it cannot be used."""
-        if not own and not managed:
+    def _build_config(self, platform: Config, file_settings: Values, managed: Values) -> Config:
+        """Return the configuration that results from the layers. Raises ConfigError if it cannot be used."""
+        if not file_settings and not managed:
             return self._scope.derive_config(platform)
         from covetally.operator import check
 
         try:
-            return self._made(platform, own | managed)
+            return self._apply_settings(platform, file_settings | managed)
         except check.OperatorError as error:
             raise ConfigError(str(error)) from None
 
-    def _made(self, platform: Config, values: Values) -> Config:
-        """As `_effective`, of the operators' settings together; OperatorError if it cannot be used."""
+    def _apply_settings(self, platform: Config, values: Values) -> Config:
+        """Apply operators' settings to the platform's configuration. Raises OperatorError if they are invalid."""
         from covetally.operator import tune
 
         config = self._scope.derive_config(replace(platform, **tune.changes(platform, values)))
-        _plan(values)
+        _membership(values)
         _tier(config, values)
         _overload(config, values)
         _caps(config, values)
         return config
 
-    def _unmoved(self, own: Values) -> Values:
-        """The operators' file as it was read again, with how this sidecar is managed left as it was."""
-        for name in {*self.own, *own}:
-            fixed = name.startswith("control.") and _takes_restart(name)
-            fixed = fixed or (name == "workers.count" and (name in own) != (name in self.own))
-            if fixed and own.get(name) != self.own.get(name):
+    def _keep_restart_only(self, file_settings: Values) -> Values:
+        """Return the reread operators' settings, but with the current values of those that need a restart."""
+        for name in {*self.file_settings, *file_settings}:
+            restart = name.startswith("control.") and _needs_restart(name)
+            restart = restart or (
+                name == "workers.count" and (name in file_settings) != (name in self.file_settings)
+            )
+            if restart and file_settings.get(name) != self.file_settings.get(name):
                 log.warning("reload: %s has changed, which takes a restart", name)
-                own = {k: v for k, v in own.items() if k != name}
-                if name in self.own:
-                    own[name] = self.own[name]
-        return own
+                file_settings = {k: v for k, v in file_settings.items() if k != name}
+                if name in self.file_settings:
+                    file_settings[name] = self.file_settings[name]
+        return file_settings
 
-    def _adopt(self, config: Config) -> None:
-        for name in FIXED:
+    def _set_config(self, config: Config) -> None:
+        for name in RESTART_ONLY:
             if getattr(config, name) != getattr(self.config, name):
                 log.warning("reload: %s has changed, which takes a restart", name)
-        fixed = {name: getattr(self.config, name) for name in FIXED}
-        self.config = replace(config, **fixed, seed=self.config.seed, known=self.config.known)
+        kept = {name: getattr(self.config, name) for name in RESTART_ONLY}
+        self.config = replace(config, **kept, seed=self.config.seed, known=self.config.known)
         logging.getLogger().setLevel(self.config.log_level.upper())
 
 
-def _plan(values: Values) -> Plan | None:
-    """As `Configuration.plan`; OperatorError if it cannot be had."""
+def _membership(values: Values) -> Membership | None:
+    """Return `Configuration.membership`. Raises OperatorError if the settings are inconsistent."""
     if values.get("roster.source", "off") == "off" and "register.app" not in values:
         return None
     from covetally.membership import settings
 
-    settings.authorization(values)  # a registration alone needs them too
+    settings.authorization(values)  # a registration alone needs it too
     return settings.plan(values) if settings.wanted(values) else None
 
 
 def _tier(config: Config, values: Values) -> Tier | None:
-    """As `Configuration.tier`; OperatorError if it cannot be had. A limit asks for the tier by itself."""
+    """Return `Configuration.tier`. Raises OperatorError if the settings are inconsistent.
+
+    A tenant limit enables the tier by itself.
+    """
     if not values:
         return None
     from covetally.operator import check, schema
 
-    asking = sorted(n for n in values if n.startswith((schema.RATE, schema.IN_FLIGHT)))
+    requesting = sorted(n for n in values if n.startswith((schema.RATE, schema.IN_FLIGHT)))
     if values.get("tier.mode") == "on":
-        asking.append("tier.mode")
-    if not asking:
+        requesting.append("tier.mode")
+    if not requesting:
         return None
     if values.get("tier.mode") == "off":
         reason, remedy = "is off by tier.mode", "tier.mode = 'on'"
-        raise check.OperatorError([check.Problem(asking[0], values[asking[0]], reason, remedy)])
-    _needs_peers(config, asking[0], values)
+        raise check.OperatorError([check.Problem(requesting[0], values[requesting[0]], reason, remedy)])
+    _require_peers(config, requesting[0], values)
     from covetally.tier import settings
 
     return settings.plan(config.settings, len(config.peers), values)
 
 
 def _overload(config: Config, values: Values) -> Overload | None:
-    """As `Configuration.overload`; OperatorError if it cannot be had."""
+    """Return `Configuration.overload`. Raises OperatorError if the settings are inconsistent."""
     if values.get("overload.mode", "off") == "off":
         return None
-    _needs_peers(config, "overload.mode", values)
+    _require_peers(config, "overload.mode", values)
     from covetally.overload import settings
 
     return settings.plan(config.settings, len(config.peers), values)
 
 
 def _caps(config: Config, values: Values) -> Caps | None:
-    """As `Configuration.caps`; OperatorError if they cannot be had."""
-    asking = sorted(name for name in values if name.startswith(("caps.client.", "caps.node.")))
-    if not asking:
+    """Return `Configuration.caps`. Raises OperatorError if the settings are inconsistent."""
+    requesting = sorted(name for name in values if name.startswith(("caps.client.", "caps.node.")))
+    if not requesting:
         return None
-    _needs_peers(config, asking[0], values)
+    _require_peers(config, requesting[0], values)
     from covetally.caps import settings
 
     return settings.plan(config.settings, len(config.peers), values)
 
 
-def _needs_peers(config: Config, name: str, values: Values) -> None:
-    """OperatorError where the platform has no peers for what this key asks for."""
+def _require_peers(config: Config, name: str, values: Values) -> None:
+    """Raise OperatorError if the platform does not provide the peers that this key needs."""
     if not (config.settings.limits.peers and config.peers and config.peer_listen is not None):
         from covetally.operator import check
 
-        remedy = "the platform has to allow them, and to list peer_listen and every sidecar"
+        remedy = "the platform has to allow peers and to configure peer_listen and the addresses of all sidecars"
         raise check.OperatorError([check.Problem(name, values[name], "needs peers", remedy)])
 
 
-def _takes_restart(name: str) -> bool:
+def _needs_restart(name: str) -> bool:
     from covetally.operator import schema
 
     key = schema.find(name)
--- a/covetally/control/manager.py
+++ b/covetally/control/manager.py
@@ -39,7 +39,7 @@
 
     def __init__(self, instance: Instance) -> None:
         self._instance = instance
-        self._own = own = instance.configuration.own
+        self._own = own = instance.configuration.file_settings
         self.name = str(own.get("control.name", instance.configuration.platform.name))
         self._labels = {
             k.removeprefix("control.labels."): v for k, v in own.items() if k.startswith("control.labels.")
@@ -386,7 +386,7 @@
 
         try:
             values = check.checked(offered.values, managed=True)
-            self._instance.configuration.try_managed(values)
+            self._instance.configuration.check_managed(values)
         except check.OperatorError as error:
             return [p.table() for p in error.problems], []
         if digest(values) != offered.digest:
--- a/covetally/process.py
+++ b/covetally/process.py
@@ -1,7 +1,7 @@
-"""One sidecar process put together: its parts, a new configuration under way, its end.
+"""Assembles one sidecar process: start, configuration changes and shutdown.
 
-A module beside `__main__`, which only reads the command line, so that the optional parts and the tests can name
-it. The optional parts are imported where the operators' file asks for them, and nowhere else.
+It is separate from `__main__`, which only reads the command line, so that optional parts and tests can import it.
+Optional parts are imported only if the operators' settings enable them.
 """
 
 from __future__ import annotations
@@ -44,12 +44,11 @@
     from covetally.shared_decisions import SharedDecisions
     from covetally.tier.shell import Shell
 
-TIER_MARK, TIER_LEAST = 0x54, 18  # see covetally/tier/wire.py
-WORD_MARK, WORD_LEAST = 0x57, 13  # see covetally/gossip/frame.py
-LISTEN_TRIES = dict.fromkeys(RESOURCE_ERRORS, 50) | {
-    errno.EADDRINUSE: 10
-}  # by what failed; other errors are final
-LISTEN_PAUSE_S = 0.1
+TIER_MAGIC, TIER_MIN_BYTES = 0x54, 18  # see covetally/tier/wire.py
+GOSSIP_MAGIC, GOSSIP_MIN_BYTES = 0x57, 13  # see covetally/gossip/frame.py
+# Attempts to listen, by errno; other errors are not retried.
+LISTEN_ATTEMPTS = dict.fromkeys(RESOURCE_ERRORS, 50) | {errno.EADDRINUSE: 10}
+LISTEN_RETRY_DELAY_S = 0.1
 log = logging.getLogger("covetally")
 
 
@@ -61,27 +60,27 @@
     others_continue: bool  # only this worker ends, not the whole sidecar
 
 
-def manager_of(instance: Instance) -> Manager | None:
-    """What manages an instance, if its own file names an agent; what that had set is in force from here on."""
-    if "control.agent" not in instance.configuration.own:
+def create_manager(instance: Instance) -> Manager | None:
+    """Create an instance's manager and restore the agent's saved settings; None if its file names no agent."""
+    if "control.agent" not in instance.configuration.file_settings:
         return None
     from covetally.control.manager import Manager
 
     manager = Manager(instance)
-    instance.configuration.recall(manager)
+    instance.configuration.restore_managed(manager)
     return manager
 
 
 class Process:
-    """A sidecar from its configuration to its end. `member` is there in a worker: its share of the whole."""
+    """One sidecar process, from its configuration to its end. `member` is set in a worker process."""
 
     def __init__(self, configuration: Configuration, member: Member | None = None) -> None:
         self.configuration = configuration
         self.member = member
-        self.manager = manager_of(self) if member is None else None
+        self.manager = create_manager(self) if member is None else None
         self.config = config = configuration.config
         self.stop = asyncio.Event()
-        self.serving = False  # it takes requests
+        self.serving = False  # it accepts requests
         self.on_ready: Callable[[], None] | None = None
         self.roster: Roster | None = None
         self.tier: Shell | None = None
@@ -96,66 +95,65 @@
         self.sidecar = Sidecar(settings, config.seed, clock, self.upstream, self.peers.send, self._subscribe)
         self.frontend = Frontend(settings, self.sidecar, config.client_connections, config.body_memory)
 
-    # --- what management asks for (see control/instance.py) -------------------------------------
+    # --- interface for management (see control/instance.py) -------------------------------------
 
     @property
     def state(self) -> str:
-        """serving, draining or drained."""
+        """The state of the process: serving, draining or drained."""
         return self.frontend.state
 
     @property
     def ending(self) -> bool:
-        """Whether it has been told to end."""
+        """Whether it has been asked to end."""
         return self.stop.is_set()
 
     def gauges(self) -> Gauges:
-        """What tells of it."""
+        """Return the source of its heartbeats, snapshots and logs."""
         from covetally.control.gauges import Gauges
 
         return Gauges(self)
 
     def drain(self, within_s: float | None) -> None:
-        """Tell clients to stay away, and hold none of them after so many seconds."""
+        """Ask clients to leave, and close their connections within this time; None: as soon as possible."""
         self.frontend.start_drain(within_s)
 
     def resume(self) -> None:
-        """Let clients come back."""
+        """Accept clients again."""
         self.frontend.resume()
 
     def start_drained(self) -> None:
-        """Refuse clients from the start on, until `resume`."""
+        """Reject clients from the start until `resume`."""
         self.frontend.start_drained()
 
     def end(self) -> None:
-        """Drain and end."""
+        """Drain and exit."""
         self.stop.set()
 
     def order(self, what: str) -> str:
-        """An order to the roster; empty, or why not."""
+        """Pass an order to the roster; return an empty string, or why there is no roster."""
         if self.roster is None:
             return NO_ROSTER
         self.roster.order(what)
         return ""
 
     def manage(self, managed: Values) -> None:
-        """Take up what the agent has set, in place of what it had; ConfigError, and nothing changed, if this
-        sidecar cannot use it."""
+        """Replace the agent's settings. Raises ConfigError and changes nothing if they cannot be used."""
         self.configuration.manage(managed)
-        self._adopt()
+        self._apply_configuration()
 
-    # --- the life of it -------------------------------------------------------------------------
+    # --- start ----------------------------------------------------------------------------------
 
     async def run(self) -> None:
         """Serve until `stop` is set, then drain."""
         self.monitor.start()
         signals = SignalHandlers()
         for number in (signal.SIGTERM, signal.SIGINT):
-            signals.on(number, partial(self._told_to_end, number))
-        asked = asyncio.Event()  # a reload asked for before there is anything to reload
-        signals.on(signal.SIGHUP, asked.set)
+            signals.on(number, partial(self._on_shutdown_signal, number))
+        reload_requested = asyncio.Event()  # before the configuration can be reloaded
+        signals.on(signal.SIGHUP, reload_requested.set)
         await self._start()
         signals.on(signal.SIGHUP, self.reload)
-        if asked.is_set() or startup_signals.sighup_received():
+        if reload_requested.is_set() or startup_signals.sighup_received():
             self.reload()
         if self.manager is not None:
             self.manager.start()
@@ -163,11 +161,11 @@
         if self.on_ready is not None:
             self.on_ready()
         await self.stop.wait()
-        await self._end()
+        await self._shut_down()
 
-    def _told_to_end(self, number: signal.Signals) -> None:
+    def _on_shutdown_signal(self, number: signal.Signals) -> None:
         open_ = (self.frontend.connections, self.sidecar.open_requests)
-        log.info("%s: %s: %d connections, %d requests under way", self.config.name, number.name, *open_)
+        log.info("%s: %s: %d connections, %d open requests", self.config.name, number.name, *open_)
         self.stop.set()
 
     async def _start(self) -> None:
@@ -179,19 +177,19 @@
             try:
                 known = parse_list(config.settings, config.known)
             except ListError as error:
-                log.warning("known: no usable list: %s", error)
-        self.discovery.on_update = self._listed
+                log.warning("known: cannot read the server list: %s", error)
+        self.discovery.on_update = self._on_list_update
         self.discovery.on_failure = lambda: self.sidecar.update_servers(ServerListUpdate("FAILED"))
-        self.peers.on_message = self._datagram
+        self.peers.on_message = self._on_datagram
         if config.peer_listen is not None:
             await _bind("peer_listen", lambda: self.peers.listen(config.peer_listen))
-        self._retier()
-        self._respeak()
-        plan = self.configuration.plan
+        self._update_tier()
+        self._update_shared_decisions()
+        plan = self.configuration.membership
         if plan is None:
             self._apply_update(known, "SAVED")
         else:
-            self.roster = self._made(plan)
+            self.roster = self._create_roster(plan)
             self.roster.recall(known)
             self.roster.start()
             await self.roster.first()
@@ -200,7 +198,7 @@
         if self.member is not None:
             self.address = self.frontend.start_accepting(self.member.listener, self.member.shared_ids)
         else:
-            self.address = self.frontend.start_accepting(await self._listener())
+            self.address = self.frontend.start_accepting(await self._open_listener())
         if self.roster is None:
             self.discovery.start()
         if "register.app" in self.values:
@@ -208,46 +206,48 @@
 
             self.registrar = Registrar(self.values, config, self.address)
             self.registrar.start()
-        gc.freeze()  # what start-up made lives as long as the process: no need to look at it again
+        gc.freeze()  # objects created at start live as long as the process: keep the collector from scanning them
         log.info("%s ready at %s:%d", config.name, *self.address)
 
-    async def _listener(self) -> socket.socket:
-        """Where clients connect; ConfigError where that cannot be had. What the system lacks for a moment is
-        waited for, and for less time an address that is in use: by connections of the process before, where the
-        system would not let this one share it."""
+    async def _open_listener(self) -> socket.socket:
+        """Return the listening socket. Raises ConfigError if it cannot be opened.
+
+        It retries while the system lacks resources. It also retries, for a shorter time, while the address is in
+        use: connections of the previous process may still occupy it if the system does not allow sharing it.
+        """
         config = self.config
-        tries = 0
+        attempts = 0
         while True:
             try:
                 return create_listener(config.listen, config.backlog)
             except OSError as error:
-                tries += 1
-                if tries >= LISTEN_TRIES.get(error.errno or 0, 1):
+                attempts += 1
+                if attempts >= LISTEN_ATTEMPTS.get(error.errno or 0, 1):
                     raise ConfigError(f"listen: {error}") from None
                 level = logging.WARNING if error.errno in RESOURCE_ERRORS else logging.DEBUG
                 log.log(level, "cannot listen yet: %s", error)
-            await asyncio.sleep(LISTEN_PAUSE_S)
+            await asyncio.sleep(LISTEN_RETRY_DELAY_S)
 
-    def _apply_update(self, news: ListUpdate, scope: str) -> None:
-        # Upstream first: the module may submit to a server in the same breath as it hears of it.
-        self.upstream.update(news.entries, news.full)
-        self.sidecar.update_servers(ServerListUpdate(scope, tuple(entry for entry, _ in news.entries)))
+    def _apply_update(self, update: ListUpdate, scope: str) -> None:
+        # Upstream first: the balancer may send a request to a server as soon as it is notified of it.
+        self.upstream.update(update.entries, update.full)
+        self.sidecar.update_servers(ServerListUpdate(scope, tuple(entry for entry, _ in update.entries)))
         if self.tier is not None:
             self.tier.listed(self.sidecar.zones())
 
-    # --- the tier -------------------------------------------------------------------------------
+    # --- peers ----------------------------------------------------------------------------------
 
-    def _datagram(self, sender: int, data: bytes) -> None:
-        """The module's rumours have 8 bytes; the tier's messages begin with their mark and have more."""
-        if self.tier is not None and len(data) > TIER_LEAST and data[0] == TIER_MARK:
+    def _on_datagram(self, sender: int, data: bytes) -> None:
+        """Dispatch a datagram: the balancer's messages have 8 bytes, the others more and a magic number."""
+        if self.tier is not None and len(data) > TIER_MIN_BYTES and data[0] == TIER_MAGIC:
             self.tier.heard(sender, data)
-        elif self.shared_decisions is not None and len(data) >= WORD_LEAST and data[0] == WORD_MARK:
+        elif self.shared_decisions is not None and len(data) >= GOSSIP_MIN_BYTES and data[0] == GOSSIP_MAGIC:
             self.shared_decisions.receive(sender, data)
         else:
             self.sidecar.receive_gossip(data)
 
-    def _retier(self) -> None:
-        """Take part in the tier as is wanted now."""
+    def _update_tier(self) -> None:
+        """Join, leave or reconfigure the tier according to the configuration."""
         plan = self.configuration.tier
         if plan is None:
             if self.tier is not None:
@@ -259,14 +259,14 @@
             from covetally.tier.shell import Parts, Shell
 
             parts = Parts(self.clock.now, self.peers.send, self.sidecar.handle_event, self.sidecar.demand)
-            life, seed = secrets.randbits(32), self.config.seed
-            self.tier = Shell(plan.me, plan.size, life, seed, plan.site, plan.held, parts)
+            incarnation, seed = secrets.randbits(32), self.config.seed
+            self.tier = Shell(plan.me, plan.size, incarnation, seed, plan.site, plan.held, parts)
             self.sidecar.on_attempt = self.tier.outcome
             self.tier.listed(self.sidecar.zones())
             self.tier.start()
 
-    def _respeak(self) -> None:
-        """Take part in what sidecars decide by words, as is wanted now."""
+    def _update_shared_decisions(self) -> None:
+        """Start or reconfigure the decisions that the sidecars share by gossip."""
         if self.shared_decisions is None:
             if self.configuration.overload is None and self.configuration.caps is None:
                 return
@@ -276,7 +276,7 @@
         self.shared_decisions.apply_configuration(self.configuration)
 
     async def overload_table(self) -> dict[str, Any]:
-        """Where the fleet's overload line stands here, for operators."""
+        """Return the state of the fleet's overload threshold here, for operators."""
         return (
             self.shared_decisions.overload_table()
             if self.shared_decisions is not None
@@ -284,18 +284,18 @@
         )
 
     async def caps_table(self) -> dict[str, Any]:
-        """Workshops' connection caps as they stand here, for operators."""
+        """Return the state of the tenants' connection caps here, for operators."""
         return (
             self.shared_decisions.caps_table() if self.shared_decisions is not None else {"off": "no caps here"}
         )
 
     async def tier_table(self) -> dict[str, Any]:
-        """What this sidecar knows of its tier, for operators."""
+        """Return this sidecar's view of its tier, for operators."""
         return self.tier.table() if self.tier is not None else {"off": "the tier is off here"}
 
-    # --- where the list of nodes comes from -----------------------------------------------------
+    # --- server list ----------------------------------------------------------------------------
 
-    def _made(self, plan: Plan) -> Roster:
+    def _create_roster(self, plan: Plan) -> Roster:
         from covetally.membership.roster import Parts, Roster
 
         parts = Parts(
@@ -307,16 +307,17 @@
         self.sidecar.on_outcome = roster.outcome
         return roster
 
-    def _rewire(self) -> None:
-        """Serve from the source that is wanted now. The list in force stays until the new one says otherwise."""
-        plan = self.configuration.plan
+    def _update_list_source(self) -> None:
+        """Switch to the configured source of the server list. The current list stays until its first update."""
+        plan = self.configuration.membership
         if plan is not None and self.roster is not None:
             self.roster.retune(plan, self.config.settings)
         elif plan is not None:
             self.discovery.stop()
-            self.roster = self._made(plan)
+            self.roster = self._create_roster(plan)
             self.roster.begin(
-                self.upstream.addresses(), {b.server for b in self.sidecar.server_statuses() if b.up}
+                self.upstream.addresses(),
+                {status.server for status in self.sidecar.server_statuses() if status.up},
             )
             self.roster.start()
             if self.manager is not None:
@@ -324,28 +325,28 @@
         elif self.roster is not None:
             self.roster.stop()
             self.roster = self.sidecar.on_outcome = None
-            self.discovery.on_update = self._listed
+            self.discovery.on_update = self._on_list_update
             self.discovery.restart()
 
     async def roster_table(self) -> dict[str, Any]:
-        """What is believed of the list of nodes and why, for operators."""
+        """Return the view of the server list and the reasons for it, for operators."""
         if self.roster is not None:
             return self.roster.table()
-        up = {b.server for b in self.sidecar.server_statuses() if b.up}
+        up = {status.server for status in self.sidecar.server_statuses() if status.up}
         nodes = [
             {"node": name, "address": "{}:{}".format(*address), "state": "up" if name in up else "leaving"}
             for name, address in sorted(self.upstream.addresses())
         ]
-        return {"level": "direct", "why": "the platform's list, believed at once", "nodes": nodes}
+        return {"level": "direct", "why": "the platform's list, applied directly", "nodes": nodes}
 
-    def _listed(self, news: ListUpdate) -> None:
-        self._apply_update(news, "FULL" if news.full else "INCREMENTAL")
+    def _on_list_update(self, update: ListUpdate) -> None:
+        self._apply_update(update, "FULL" if update.full else "INCREMENTAL")
 
     def _subscribe(self) -> None:
         if self.roster is None or self.roster.asks_platform:
             self.discovery.subscribe()
 
-    async def _end(self) -> None:
+    async def _shut_down(self) -> None:
         log.info("%s drains", self.config.name)
         others_continue = self.member is not None and self.member.others_continue  # at the same address
         if self.registrar is not None:
@@ -368,38 +369,39 @@
         violations = self.sidecar.violations.total
         log.info("%s ends: connections closed: %s; %d violations", self.config.name, closed or "none", violations)
 
-    # --- changes under way ----------------------------------------------------------------------
+    # --- configuration changes ------------------------------------------------------------------
 
     def reload(self) -> None:
-        """Take up what may change while requests are under way; a bad configuration changes nothing."""
+        """Read the configuration files again. An invalid configuration changes nothing."""
         if self.configuration.reload():
-            self._adopt()
+            self._apply_configuration()
             log.info("%s has reloaded its configuration", self.config.name)
 
     def update_share(self) -> None:
         """Apply a change of this worker's share of the whole sidecar."""
         self.configuration.update_scope()
-        self._adopt()
+        self._apply_configuration()
 
     @property
     def values(self) -> Values:
         """The operators' settings in force."""
         return self.configuration.values
 
-    def _adopt(self) -> None:
+    def _apply_configuration(self) -> None:
         self.config = config = self.configuration.config
         self.discovery.set_address(config.discovery)
         self.peers.set_peers(config.peers, config.peers_all)
-        self._retier()
-        self._respeak()
+        self._update_tier()
+        self._update_shared_decisions()
         self.sidecar.reconfigure(config.settings)
         self.sidecar.tracing = log.isEnabledFor(logging.DEBUG)
         self.upstream.reconfigure(config.settings, config.server_connections)
         self.frontend.retune(config.settings, config.client_connections, config.body_memory)
-        self._rewire()
+        self._update_list_source()
 
 
 async def _bind(key: str, listen: Callable) -> None:
+    """Open a socket. Raises ConfigError with the configuration key if that fails."""
     try:
         await listen()
     except OSError as error:
--- a/covetally/workers/supervisor.py
+++ b/covetally/workers/supervisor.py
@@ -25,7 +25,7 @@
 from covetally.loop_monitor import LoopMonitor
 from covetally.net.config import ConfigError
 from covetally.net.frontend import create_listener
-from covetally.process import manager_of
+from covetally.process import create_manager
 from covetally.signals import SignalHandlers
 from covetally.workers import merge
 from covetally.workers.channel import Channel
@@ -59,7 +59,7 @@
 
     def __init__(self, configuration: Configuration, operator: str | None) -> None:
         self.configuration, self._operator = configuration, operator
-        self.manager = manager_of(self)
+        self.manager = create_manager(self)
         self._pool = WorkerPool(
             self._configured_count(), self._hang_timeout_s(), configuration.shutdown.closed_s + SHUTDOWN_MARGIN_S
         )
@@ -265,7 +265,7 @@
 
     @property
     def state(self) -> str:
-        """serving, draining or drained, by the last heartbeats of the workers."""
+        """The state of the sidecar: serving, draining or drained, by the last heartbeats of the workers."""
         if self.ending or not self._drained:
             return "draining" if self.ending else "serving"
         states = [child.heartbeat.get("state") for child in self._children.values() if child.heartbeat]
