--- a/covetally/configuration.py
+++ b/covetally/configuration.py
@@ -17,7 +17,7 @@
 
 if TYPE_CHECKING:
     from covetally.caps.settings import Plan as Caps
-    from covetally.membership.settings import Plan as Membership
+    from covetally.membership.settings import MembershipConfig
     from covetally.operator.schema import Values
     from covetally.overload.settings import Plan as Overload
     from covetally.tier.settings import Plan as Tier
@@ -92,7 +92,7 @@
         return self.file_settings | self.managed
 
     @property
-    def membership(self) -> Membership | None:
+    def membership(self) -> MembershipConfig | None:
         """The membership settings; None if the platform's server list is applied directly."""
         return _membership(self.values)
 
@@ -212,14 +212,14 @@
         logging.getLogger().setLevel(self.config.log_level.upper())
 
 
-def _membership(values: Values) -> Membership | None:
+def _membership(values: Values) -> MembershipConfig | None:
     """Return `Configuration.membership`. Raises OperatorError if the settings are inconsistent."""
     if values.get("roster.source", "off") == "off" and "register.app" not in values:
         return None
     from covetally.membership import settings
 
-    settings.authorization(values)  # a registration alone needs it too
-    return settings.plan(values) if settings.wanted(values) else None
+    settings.read_authorization(values)  # a registration alone needs it too
+    return settings.membership_config(values) if settings.is_enabled(values) else None
 
 
 def _tier(config: Config, values: Values) -> Tier | None:
