--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -1,4 +1,4 @@
-"""A sidecar short of CPU: its own delay is not its servers', and what came too late goes at once."""
+"""Tests of a sidecar short of CPU: its own delay is not held against servers, and late requests are rejected."""
 
 from __future__ import annotations
 
@@ -11,160 +11,164 @@
 from tests.support import MS, BalancerHarness, settings
 
 
-def events(here, kind):
-    """Every event of a kind that the module is told, as they come."""
-    told, handle = [], here.balancer.handle
+def record_events(harness, kind):
+    """Return a list to which each event of a kind that the balancer handles is appended."""
+    recorded, handle = [], harness.balancer.handle
 
-    def listen(now, event):
+    def record(now, event):
         if isinstance(event, kind):
-            told.append(event)
+            recorded.append(event)
         return handle(now, event)
 
-    here.balancer.handle = listen
-    return told
+    harness.balancer.handle = record
+    return recorded
 
 
-def outcomes(here):
-    """Every outcome that the module is told, as they come."""
-    return events(here, AttemptEnded)
+def record_outcomes(harness):
+    """Return a list to which the end of each attempt is appended."""
+    return record_events(harness, AttemptEnded)
 
 
-def test_time_in_the_kernel_and_the_backlog_counts_as_the_request_s():
+def test_time_in_the_kernel_and_the_backlog_counts_against_the_requests_deadline():
     async def main():
-        async with sidecar_harness(respond_ok) as here:
-            told = events(here, RequestReceived)
-            with socket.create_connection(here.address) as client:
+        async with sidecar_harness(respond_ok) as harness:
+            received = record_events(harness, RequestReceived)
+            with socket.create_connection(harness.address) as client:
                 client.sendall(request(expires="0.8"))
-                time.sleep(0.3)  # the whole process stands still, its listener too
+                time.sleep(0.3)  # blocks the whole process, including its listener
                 client.setblocking(False)
-                got = await asyncio.get_running_loop().sock_recv(client, 4096)
-            assert got.startswith(b"HTTP/1.1 ")
-            age, ttl = told[0].age_ns, told[0].ttl_ns
+                reply = await asyncio.get_running_loop().sock_recv(client, 4096)
+            assert reply.startswith(b"HTTP/1.1 ")
+            age, ttl = received[0].age_ns, received[0].ttl_ns
             assert age > 200 * MS and ttl <= 800 * MS - age
 
     asyncio.run(main())
 
 
-def test_the_own_delay_is_not_taken_for_the_server_s():
-    """The answer is there soon, but this process stands still before it gets to read it."""
+def test_the_sidecars_own_delay_is_not_attributed_to_the_server():
+    """The response arrives soon, but this process is blocked before it can read it."""
 
-    async def stand_still(server, got, reader, writer):
+    async def block_after_response(server, head, reader, writer):
         writer.write(response(b"quick"))
         asyncio.get_running_loop().call_soon(time.sleep, 0.2)
 
     async def main():
-        async with sidecar_harness(stand_still) as here:
-            told = outcomes(here)
-            assert await here.status(request(cls="pay", expires="5")) == 200
-            assert told[0].status == AttemptStatus.OK
-            assert told[0].latency_ns < 150 * MS < told[0].local_ns
+        async with sidecar_harness(block_after_response) as harness:
+            outcomes = record_outcomes(harness)
+            assert await harness.status(request(cls="pay", expires="5")) == 200
+            assert outcomes[0].status == AttemptStatus.OK
+            assert outcomes[0].latency_ns < 150 * MS < outcomes[0].local_ns
 
     asyncio.run(main())
 
 
-def test_an_answer_that_lies_unread_at_the_time_out_is_no_fault_of_the_server():
-    async def stand_still(server, got, reader, writer):
+def test_a_response_unread_at_the_timeout_is_no_server_failure():
+    async def block_after_response(server, head, reader, writer):
         writer.write(response(b"in time"))
         time.sleep(0.5)  # past the aim, not the deadline
 
     async def main():
-        async with sidecar_harness(stand_still) as here:
-            told = outcomes(here)
-            here.balancer.state.retry_tokens = 0.0  # no further attempt
-            await here.status(request(cls="pay", expires="0.95"))
-            await wait_until(lambda: told)
-            assert told[0].status != AttemptStatus.TIMEOUT
+        async with sidecar_harness(block_after_response) as harness:
+            outcomes = record_outcomes(harness)
+            harness.balancer.state.retry_tokens = 0.0  # no further attempt
+            await harness.status(request(cls="pay", expires="0.95"))
+            await wait_until(lambda: outcomes)
+            assert outcomes[0].status != AttemptStatus.TIMEOUT
 
     asyncio.run(main())
 
 
-def test_a_connection_that_came_up_unnoticed_is_no_failed_one(monkeypatch):
-    """The kernel has the connection up, but time ran out before this process came to look."""
+def test_a_connection_established_but_not_noticed_is_no_connect_failure(monkeypatch):
+    """The kernel has established the connection, but the attempt times out before this process checks it."""
 
     async def main():
-        async with sidecar_harness(respond_ok) as here:
-            told = outcomes(here)
-            here.balancer.state.retry_tokens = 0.0
+        async with sidecar_harness(respond_ok) as harness:
+            outcomes = record_outcomes(harness)
+            harness.balancer.state.retry_tokens = 0.0
             loop = asyncio.get_running_loop()
-            monkeypatch.setattr(loop, "add_writer", lambda *_: None)  # as if the loop had no turn to spare for it
-            await here.status(request(expires="0.3"))
-            await wait_until(lambda: told)
-            assert told[0].status == AttemptStatus.NOT_SENT
-            assert here.balancer.state.servers["s0"].steps
+            monkeypatch.setattr(loop, "add_writer", lambda *_: None)  # as if the loop had no time for it
+            await harness.status(request(expires="0.3"))
+            await wait_until(lambda: outcomes)
+            assert outcomes[0].status == AttemptStatus.NOT_SENT
+            assert harness.balancer.state.servers["s0"].steps
 
     asyncio.run(main())
 
 
-def test_a_server_that_says_nothing_is_still_a_time_out():
-    async def silent(server, got, reader, writer):
+def test_a_silent_server_still_causes_a_timeout():
+    async def silent(server, head, reader, writer):
         await reader.read()
 
     async def main():
-        async with sidecar_harness(silent) as here:
-            told = outcomes(here)
-            here.balancer.state.retry_tokens = 0.0
-            await here.status(request(expires="0.2"))
-            await wait_until(lambda: told)
-            assert told[0].status == AttemptStatus.TIMEOUT
+        async with sidecar_harness(silent) as harness:
+            outcomes = record_outcomes(harness)
+            harness.balancer.state.retry_tokens = 0.0
+            await harness.status(request(expires="0.2"))
+            await wait_until(lambda: outcomes)
+            assert outcomes[0].status == AttemptStatus.TIMEOUT
 
     asyncio.run(main())
 
 
-def test_under_a_standing_queue_requests_that_waited_are_refused_at_once_and_told_when_to_come():
-    """Each turn this process stands still for longer than it needs to serve what has come meanwhile."""
+def test_during_a_standing_queue_delayed_requests_are_rejected_at_once_with_a_retry_time():
+    """Each exchange blocks this process for longer than it needs to serve the requests that have arrived."""
 
     async def main():
         limits = {"retryAfter": True, "maxRetryAfterNs": 700 * MS}
-        async with sidecar_harness(respond_ok, limits=limits, more={"clients": {"marksRetry": True}}) as here:
+        async with sidecar_harness(respond_ok, limits=limits, more={"clients": {"marksRetry": True}}) as harness:
             trace = trace_ids()
-            reader, writer = await here.connect()
+            reader, writer = await harness.connect()
 
-            async def ask(**more):
+            async def exchange(**more):
                 writer.write(request(trace(), **more))
-                time.sleep(0.15)  # over a quarter of the aim
+                time.sleep(0.15)  # more than a quarter of the aim
                 return await read_message(reader)
 
             start = time.monotonic()
-            assert (await ask()).startswith(b"HTTP/1.1 200")
-            while not (got := await ask()).startswith(b"HTTP/1.1 503"):
+            assert (await exchange()).startswith(b"HTTP/1.1 200")
+            while not (reply := await exchange()).startswith(b"HTTP/1.1 503"):
                 pass
             assert time.monotonic() - start > 0.3, "a burst is served"
-            assert b"retry-after: 0.700" in got.lower()
-            read = here.sidecar._accepted
-            while here.frontend.shed_requests < 3:
-                await ask()
-            again = await ask(more="X-Second-Try: 1\r\n")
-            assert again.startswith(b"HTTP/1.1 503"), "whoever comes again is refused"
+            assert b"retry-after: 0.700" in reply.lower()
+            accepted_before = harness.sidecar._accepted
+            while harness.frontend.shed_requests < 3:
+                await exchange()
+            retry = await exchange(more="X-Second-Try: 1\r\n")
+            assert retry.startswith(b"HTTP/1.1 503"), "retries are rejected"
             for more in ({"cls": "pay"}, {"more": "Connection: keep-alive\r\n"}):
-                shed, taken = here.frontend.shed_requests, here.sidecar._accepted
-                await ask(**more)
-                assert (here.frontend.shed_requests, here.sidecar._accepted) == (shed, taken + 1), "read as ever"
-            assert here.sidecar._accepted - read < 40, "some were refused unread"
+                shed, accepted = harness.frontend.shed_requests, harness.sidecar._accepted
+                await exchange(**more)
+                assert (harness.frontend.shed_requests, harness.sidecar._accepted) == (shed, accepted + 1), (
+                    "read as usual"
+                )
+            assert harness.sidecar._accepted - accepted_before < 40, "some were rejected unread"
             writer.write(request(trace()))
-            assert (await read_message(reader)).startswith(b"HTTP/1.1 200"), "one read promptly is served"
+            assert (await read_message(reader)).startswith(b"HTTP/1.1 200"), (
+                "a request that is read promptly is served"
+            )
             writer.close()
 
     asyncio.run(main())
 
 
-def test_while_a_queue_stands_those_that_waited_long_are_refused_and_the_others_are_not():
+def test_during_a_standing_queue_only_requests_that_waited_long_are_rejected():
     balancer = BalancerHarness(settings(limits={"retryAfter": True, "maxRetryAfterNs": 700 * MS})).balancer
-    now, let_in = 5_000 * MS, []
+    now, hold_offs = 5_000 * MS, []
     for _ in range(400):
         now += 2 * MS
-        let_in.append(balancer.overload_hold_off(now, 100 * MS, False))
+        hold_offs.append(balancer.overload_hold_off(now, 100 * MS, False))
         assert not balancer.overload_hold_off(now, 70 * MS, False), "within a quarter of the aim"
-    assert not any(let_in[:150]), "a burst"
-    assert all(wait == 700 * MS for wait in let_in[-200:])
-    assert balancer.overload_hold_off(now, 0, True) == 700 * MS, "whoever comes again"
+    assert not any(hold_offs[:150]), "a burst"
+    assert all(wait == 700 * MS for wait in hold_offs[-200:])
+    assert balancer.overload_hold_off(now, 0, True) == 700 * MS, "retries are rejected"
     for _ in range(160):
         now += 2 * MS
         assert not balancer.overload_hold_off(now, 70 * MS, False)
-    assert not balancer.shedding, "none has waited so long for an aim"
+    assert not balancer.shedding, "no request has waited for long during the last aim"
     assert not balancer.overload_hold_off(now, 100 * MS, True)
 
 
-def test_a_silence_ends_the_shedding():
+def test_a_pause_without_requests_ends_the_shedding():
     balancer = BalancerHarness().balancer
     now = 5_000 * MS
     while not balancer.shedding:
@@ -174,27 +178,27 @@
     assert not balancer.shedding
 
 
-def test_a_crowd_that_came_while_this_process_stood_still_does_not_keep_the_loop():
-    """Between turns of READ_SLICE_S it looks at all else, servers' answers above all, whatever has come."""
+def test_many_requests_after_a_stall_do_not_monopolize_the_loop():
+    """After each READ_SLICE_S the loop handles other events, above all servers' responses, before it reads on."""
 
     async def main():
-        async with sidecar_harness(respond_ok, clients=200, sockets=200) as here:
-            order, take, loop = [], here.sidecar.accept, asyncio.get_running_loop()
+        async with sidecar_harness(respond_ok, clients=200, sockets=200) as harness:
+            order, accept, loop = [], harness.sidecar.accept, asyncio.get_running_loop()
 
-            def taking(*words):
+            def recording_accept(*arguments):
                 if not order:
                     loop.call_soon(order.append, "something else")
                 order.append("a request")
-                time.sleep(0.002)  # so that a turn holds but a few
-                return take(*words)
+                time.sleep(0.002)  # so that a slice has room for only a few
+                return accept(*arguments)
 
-            here.sidecar.accept = taking
+            harness.sidecar.accept = recording_accept
             trace = trace_ids()
-            streams = [await here.connect() for _ in range(60)]
-            await wait_until(lambda: len(here.frontend._clients) == 60)
+            streams = [await harness.connect() for _ in range(60)]
+            await wait_until(lambda: len(harness.frontend._clients) == 60)
             for _, writer in streams:
                 writer.write(request(trace(), expires="5"))
-            time.sleep(0.03)  # all have lain in the kernel for longer than is prompt
+            time.sleep(0.03)  # all have waited in the kernel for longer than counts as prompt
             for reader, writer in streams:
                 await read_message(reader)
                 writer.close()
@@ -203,40 +207,40 @@
     asyncio.run(main())
 
 
-def test_with_all_servers_out_and_a_trial_under_way_clients_are_told_when_to_come():
-    """A refusal without a time draws the next try at once."""
+def test_a_refusal_has_a_retry_time_while_all_servers_are_ejected_and_one_is_probed():
+    """A refusal without a retry time causes an immediate retry."""
     harness = BalancerHarness(settings(limits={"retryAfter": True, "maxRetryAfterNs": 700 * MS}), servers=1)
     server = harness.server("s0")
     server.steps, server.probing, harness.balancer.state.live_count = 0, True, 0
-    told = harness.feed_accept()
-    assert [type(action) for action in told] == [Refuse]
-    assert told[0].hold_off_ns > 0
+    actions = harness.feed_accept()
+    assert [type(action) for action in actions] == [Refuse]
+    assert actions[0].hold_off_ns > 0
 
 
-def test_requests_of_clients_that_have_left_are_not_passed_on():
-    """They wait in the backlog, or on a kept connection, until this process has time: too late for them."""
+def test_requests_of_clients_that_have_left_are_not_forwarded():
+    """They wait in the backlog or on a keep-alive connection until this process reads them: too late for them."""
 
     async def main():
-        async with sidecar_harness(respond_ok) as here:
-            kept = await here.connect()
+        async with sidecar_harness(respond_ok) as harness:
+            kept = await harness.connect()
             kept[1].write(request("kept"))
             await read_message(kept[0])
-            taken = here.sidecar._accepted
+            accepted = harness.sidecar._accepted
             kept[1].write(request("left"))
             kept[1].get_extra_info("socket").shutdown(socket.SHUT_WR)
             for number in range(5):
-                with socket.create_connection(here.address) as client:
+                with socket.create_connection(harness.address) as client:
                     client.sendall(request(f"gone{number}"))
-            assert await here.status(request("after")) == 200
-            await wait_until(lambda: not here.frontend._clients)
-            assert here.sidecar._accepted == taken + 1
-            assert len(here.servers["s0"].requests) == 2
+            assert await harness.status(request("after")) == 200
+            await wait_until(lambda: not harness.frontend._clients)
+            assert harness.sidecar._accepted == accepted + 1
+            assert len(harness.servers["s0"].requests) == 2
 
     asyncio.run(main())
 
 
-def test_a_lone_request_that_waited_is_no_queue():
-    """A sidecar with little traffic, or one that has just begun, that stands still for once."""
+def test_an_isolated_delayed_request_is_no_standing_queue():
+    """A sidecar with little traffic, or one that has just started, is blocked once."""
     harness = BalancerHarness()
     harness.advance(5_000 * MS)
     for _ in range(3):
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""What `run` in the deploy file starts keeps to what the platform's pages allow, and `node` names all of it."""
+"""Tests of the deploy file: `run` makes only system calls that the platform allows; `node` lists its files."""
 
 from __future__ import annotations
 
@@ -17,27 +17,27 @@
 
 DEPLOY = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
 REFUSING = (sys.executable, "-m", "tests.refusing")
-MOST_MODULE_LINES = 400  # of one decision module: over that it is split by what it does
+MAX_POLICY_MODULE_LINES = 400  # a longer policy module has to be split by task
 filtered = pytest.mark.skipif(os.uname().machine not in CALLS, reason="no call numbers for this machine")
 
 
 def command() -> str:
-    """The deploy file's `run`, with the interpreter that these tests have."""
+    """Return the deploy file's `run`, with the interpreter of these tests."""
     run = DEPLOY["run"]
-    assert run.startswith("exec .venv/bin/python "), "one process, by exec, in place of the shell"
+    assert run.startswith("exec .venv/bin/python "), "exec replaces the shell, so that there is one process"
     return run.replace(".venv/bin/python", sys.executable)
 
 
 @filtered
 @pytest.mark.parametrize(
-    "refused",
+    "statement",
     ["os.fork()", "import subprocess; subprocess.run(['true'])", "import socket; socket.socket(socket.AF_INET6)",
      "r, w = os.pipe(); os.splice(r, w, 1)", "os.sendfile(1, 0, 0, 1)"],
 )  # fmt: skip
-def test_the_filter_ends_whoever_does_what_is_refused(refused):
-    """Without this the test below could pass with a filter that filters nothing."""
+def test_the_filter_kills_a_process_that_makes_a_forbidden_call(statement):
+    """Otherwise the next test could pass with a filter that allows everything."""
     run = [*REFUSING, sys.executable, "-c"]
-    assert subprocess.run([*run, f"import os; {refused}"], cwd=ROOT, timeout=TEST_TIMEOUT_S).returncode == -31
+    assert subprocess.run([*run, f"import os; {statement}"], cwd=ROOT, timeout=TEST_TIMEOUT_S).returncode == -31
     thread = "import threading; t = threading.Thread(target=print); t.start(); t.join()"
     assert (
         subprocess.run([*run, thread], cwd=ROOT, timeout=TEST_TIMEOUT_S, stdout=subprocess.DEVNULL).returncode
@@ -46,32 +46,32 @@
 
 
 @filtered
-def test_a_sidecar_serves_reloads_and_drains_without_any_refused_call(tmp_path, monkeypatch):
-    """SIGSYS would end it at the first fork, splice, sendfile, io_uring or socket of another family."""
+def test_a_sidecar_serves_reloads_and_drains_without_a_forbidden_call(tmp_path, monkeypatch):
+    """SIGSYS would kill it at the first fork, splice, sendfile, io_uring call or socket of another family."""
 
     async def main():
         async with running(tmp_path) as (process, *_):
             for number in range(20):
-                got = await process.ask(request(trace=f"t{number}"))
-                assert got.startswith(b"HTTP/1.1 200"), got
-            process.write()
+                reply = await process.exchange(request(trace=f"t{number}"))
+                assert reply.startswith(b"HTTP/1.1 200"), reply
+            process.write_config()
             process.signal(1)
             await wait_until(lambda: b"reloaded its configuration" in process.log.read_bytes())
-            assert (await process.ask(request(trace="after"))).startswith(b"HTTP/1.1 200")
+            assert (await process.exchange(request(trace="after"))).startswith(b"HTTP/1.1 200")
             assert await process.end() == 0
 
-    started = asyncio.create_subprocess_exec
+    create_subprocess_exec = asyncio.create_subprocess_exec
 
     async def under_filter(python, *arguments, **options):
         assert (python, arguments[:2]) == (sys.executable, ("-m", "covetally"))
-        return await started(*REFUSING, "/bin/sh", "-c", command(), **options)
+        return await create_subprocess_exec(*REFUSING, "/bin/sh", "-c", command(), **options)
 
     monkeypatch.setattr(asyncio, "create_subprocess_exec", under_filter)
     asyncio.run(main())
 
 
-def test_all_that_run_imports_is_named_by_node_and_policy():
-    """Modules that only the operators' file brings in stay out of a process that has none."""
+def test_node_and_policy_list_every_imported_module():
+    """A process without an operators' file imports no optional module."""
     imports = (
         "import sys, covetally.__main__\n"
         "print(*[m.__file__ for name, m in sys.modules.items() if name.startswith('covetally') and m.__file__])"
@@ -81,13 +81,13 @@
     )
     files = [Path(name).relative_to(ROOT).as_posix() for name in printed.split()]
     assert len(files) > 10
-    named = [*DEPLOY["node"], *DEPLOY["policy"]]
-    there = {f.relative_to(ROOT).as_posix() for f in (ROOT / "covetally/policy").glob("*.py")}
-    assert {*DEPLOY["policy"]} == there
+    listed = [*DEPLOY["node"], *DEPLOY["policy"]]
+    policy_files = {f.relative_to(ROOT).as_posix() for f in (ROOT / "covetally/policy").glob("*.py")}
+    assert {*DEPLOY["policy"]} == policy_files
     lines = {name: len((ROOT / name).read_text().splitlines()) for name in DEPLOY["policy"]}
-    assert max(lines.values()) <= MOST_MODULE_LINES, lines
-    assert all((ROOT / name).exists() for name in named)
-    assert [f for f in files if not any(f == name or f.startswith(name + "/") for name in named)] == []
+    assert max(lines.values()) <= MAX_POLICY_MODULE_LINES, lines
+    assert all((ROOT / name).exists() for name in listed)
+    assert [f for f in files if not any(f == name or f.startswith(name + "/") for name in listed)] == []
     optional = (
         "operator/files",
         "control/",
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -1,4 +1,4 @@
-"""The process: signals, a new configuration under way, and bad ones."""
+"""Tests of the sidecar process: signals, reloads, and invalid configurations."""
 
 from __future__ import annotations
 
@@ -38,29 +38,31 @@
 }
 
 
-def name_of(server: ScriptedServer) -> str:
+def address_of(server: ScriptedServer) -> str:
     host, port = server.address
     return f"{host}:{port}"
 
 
-def members(server: ScriptedServer) -> bytes:
-    item = {"instanceId": "s0", "hostPort": name_of(server), "zone": "a", "lifecycle": "active"}
+def server_list(server: ScriptedServer) -> bytes:
+    item = {"instanceId": "s0", "hostPort": address_of(server), "zone": "a", "lifecycle": "active"}
     return json.dumps({"generation": 5, "reset": True, "instances": [item]}).encode()
 
 
-def catalog(of: ScriptedServer):
-    """A discovery that has one server; a watch waits for good."""
+def discovery_script(listed: ScriptedServer):
+    """Return the script of a discovery service that lists one server and never answers a watch."""
 
-    async def script(server, got, reader, writer):
-        if b"index=" in got.split(b"\r\n")[0]:
+    async def script(server, head, reader, writer):
+        if b"index=" in head.split(b"\r\n")[0]:
             await reader.read()
         else:
-            writer.write(response(members(of)))
+            writer.write(response(server_list(listed)))
 
     return script
 
 
 class Process:
+    """A sidecar process with its own configuration file and log."""
+
     def __init__(self, folder: Path, config: dict[str, Any], arguments: tuple[str, ...] = ()) -> None:
         self.path = folder / "config.json"
         self.arguments = arguments
@@ -68,7 +70,7 @@
         self.log = folder / "log"
         self._process: asyncio.subprocess.Process
 
-    def write(self, **changes: Any) -> None:
+    def write_config(self, **changes: Any) -> None:
         self.config |= changes
         self.path.write_text(json.dumps(self.config))
 
@@ -97,7 +99,7 @@
             self._process.terminate()
         return await self._process.wait()
 
-    async def ask(self, data: bytes) -> bytes:
+    async def exchange(self, data: bytes) -> bytes:
         ready = self.log.read_bytes().partition(b"ready at ")[2].split()[0].decode()
         host, _, port = ready.rpartition(":")
         reader, writer = await asyncio.open_connection(host, int(port))
@@ -110,16 +112,17 @@
 
 @contextlib.asynccontextmanager
 async def running(folder: Path, operator: str | None = None):
+    """Yield a sidecar process, the servers of two discovery services (old and new), and these services."""
     old, new = ScriptedServer(respond_ok), ScriptedServer(respond_ok)
     for server in (old, new):
         await server.start()
-    lists = [ScriptedServer(catalog(old)), ScriptedServer(catalog(new))]
-    for server in lists:
+    services = [ScriptedServer(discovery_script(old)), ScriptedServer(discovery_script(new))]
+    for server in services:
         await server.start()
     config = {
         "name": "n",
         "listen": "127.0.0.1:0",
-        "discovery": name_of(lists[0]),
+        "discovery": address_of(services[0]),
         "settings": SETTINGS,
     }
     arguments: tuple[str, ...] = ()
@@ -127,28 +130,28 @@
         (folder / "operator.toml").write_text(operator)
         arguments = ("--operator", str(folder / "operator.toml"))
     process = Process(folder, config, arguments)
-    process.write()
+    process.write_config()
     await process.start()
     try:
         async with asyncio.timeout(TEST_TIMEOUT_S):
-            yield process, old, new, lists
+            yield process, old, new, services
     finally:
         await process.end()
-        for server in (old, new, *lists):
+        for server in (old, new, *services):
             server.stop()
 
 
-def test_sighup_moves_to_the_discovery_that_the_file_names(tmp_path):
+def test_sighup_switches_to_the_discovery_service_of_the_changed_file(tmp_path):
     async def main():
-        async with running(tmp_path) as (process, old, new, lists):
-            await wait_until(lambda: len(lists[0].requests) == 2)
-            assert (await process.ask(request("a"))).endswith(b"for a")
+        async with running(tmp_path) as (process, old, new, services):
+            await wait_until(lambda: len(services[0].requests) == 2)
+            assert (await process.exchange(request("a"))).endswith(b"for a")
             assert len(old.requests) == 1
-            process.write(discovery=name_of(lists[1]))
+            process.write_config(discovery=address_of(services[1]))
             process.signal(signal.SIGHUP)
-            await wait_until(lambda: len(lists[1].requests) == 2)
-            assert (await process.ask(request("b"))).endswith(b"for b")
-            assert len(new.requests) == 1, "the new list holds"
+            await wait_until(lambda: len(services[1].requests) == 2)
+            assert (await process.exchange(request("b"))).endswith(b"for b")
+            assert len(new.requests) == 1, "the new server list is in force"
             assert process.running
             assert await process.end() == 0
 
@@ -156,26 +159,26 @@
 
 
 @pytest.mark.parametrize("text", ["{", "[]", json.dumps({"discovery": "nowhere"})])
-def test_a_bad_configuration_on_sighup_changes_nothing(tmp_path, text):
+def test_an_invalid_configuration_on_sighup_changes_nothing(tmp_path, text):
     async def main():
-        async with running(tmp_path) as (process, old, _, lists):
-            await wait_until(lambda: len(lists[0].requests) == 2)
+        async with running(tmp_path) as (process, old, _, services):
+            await wait_until(lambda: len(services[0].requests) == 2)
             process.path.write_text(text)
             process.signal(signal.SIGHUP)
             await wait_until(lambda: b"the old configuration stays" in process.log.read_bytes())
             assert b"Traceback" not in process.log.read_bytes()
-            assert (await process.ask(request("a"))).endswith(b"for a")
+            assert (await process.exchange(request("a"))).endswith(b"for a")
             assert len(old.requests) == 1
 
     asyncio.run(main())
 
 
-def line_of_a_start_that_fails(folder: Path, changes: dict[str, Any], *arguments: str) -> str:
-    """Start a sidecar that cannot be; it has to end with status 2 and the one line that is returned."""
+def failed_start(folder: Path, changes: dict[str, Any], *arguments: str) -> str:
+    """Start a sidecar that has to exit with status 2 and one line on stderr, and return that line."""
     path = folder / "config.json"
     config = {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": SETTINGS} | changes
     path.write_text(json.dumps(config))
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-m", "covetally", *arguments],
         cwd=ROOT,
         env=os.environ | {"EDGE_CONFIG": str(path)},
@@ -184,8 +187,8 @@
         timeout=TEST_TIMEOUT_S,
         check=False,
     )
-    assert done.returncode == 2
-    (line,) = done.stderr.splitlines()
+    assert completed.returncode == 2
+    (line,) = completed.stderr.splitlines()
     return line
 
 
@@ -205,50 +208,50 @@
         ("settings.prices.handshake", {"settings": SETTINGS | {"prices": {"handshake": float("inf")}}}),
     ],
 )
-def test_a_bad_configuration_at_the_start_is_one_line_that_names_the_key(tmp_path, key, changes):
-    line = line_of_a_start_that_fails(tmp_path, changes)
+def test_an_invalid_configuration_at_the_start_is_reported_in_one_line_with_the_key(tmp_path, key, changes):
+    line = failed_start(tmp_path, changes)
     assert key in line
 
 
-def test_an_address_in_use_is_one_line_that_names_the_key(tmp_path):
+def test_an_address_in_use_is_reported_in_one_line_with_the_key(tmp_path):
     with socket.create_server(("127.0.0.1", 0)) as taken:
         address = "{}:{}".format(*taken.getsockname())
-        assert "listen: " in line_of_a_start_that_fails(tmp_path, {"listen": address})
+        assert "listen: " in failed_start(tmp_path, {"listen": address})
 
 
-NO_CONFIGURATIONS = {
+UNREADABLE_CONFIGURATIONS = {
     "absent": None, "empty": "", "cut": "{", "a list": "[]", "deep": "[" * 200_000, "bytes": "\udcff",
 }  # fmt: skip
 
 
-@pytest.mark.parametrize("text", NO_CONFIGURATIONS.values(), ids=NO_CONFIGURATIONS)
-def test_a_configuration_that_is_none_is_one_line_that_names_it(tmp_path, text):
+@pytest.mark.parametrize("text", UNREADABLE_CONFIGURATIONS.values(), ids=UNREADABLE_CONFIGURATIONS)
+def test_an_unreadable_configuration_is_reported_in_one_line_with_its_variable(tmp_path, text):
     path = tmp_path / "config.json"
     if text is not None:
         path.write_text(text, errors="surrogateescape")
-    for named in ({"EDGE_CONFIG": str(path)}, {}):
-        env = {k: v for k, v in os.environ.items() if k != "EDGE_CONFIG"} | named
-        done = subprocess.run(
+    for variables in ({"EDGE_CONFIG": str(path)}, {}):
+        env = {k: v for k, v in os.environ.items() if k != "EDGE_CONFIG"} | variables
+        completed = subprocess.run(
             [sys.executable, "-m", "covetally"], cwd=ROOT, env=env, capture_output=True, text=True,
             timeout=TEST_TIMEOUT_S, check=False,
         )  # fmt: skip
-        assert done.returncode == 2
-        (line,) = done.stderr.splitlines()
+        assert completed.returncode == 2
+        (line,) = completed.stderr.splitlines()
         assert "EDGE_CONFIG: " in line
 
 
-def test_the_operators_file_holds_over_the_platform_s_and_is_taken_up_on_sighup(tmp_path):
-    """A class's deadline decides whether the sidecar waits for a node that takes a quarter of a second."""
+def test_the_operators_file_overrides_the_platforms_and_is_reloaded_on_sighup(tmp_path):
+    """The class's deadline decides whether the sidecar waits for a node that takes 0.25 s."""
 
-    async def slow(server, got, reader, writer):
+    async def slow(server, head, reader, writer):
         await asyncio.sleep(0.25)
-        await respond_ok(server, got, reader, writer)
+        await respond_ok(server, head, reader, writer)
 
     async def main():
-        async with running(tmp_path, "[classes.look]\ndeadline_ms = 150\n") as (process, old, _, lists):
-            await wait_until(lambda: len(lists[0].requests) == 2)
+        async with running(tmp_path, "[classes.look]\ndeadline_ms = 150\n") as (process, old, _, services):
+            await wait_until(lambda: len(services[0].requests) == 2)
             old.script = slow
-            assert not (await process.ask(request("a", expires="0.9"))).startswith(b"HTTP/1.1 200")
+            assert not (await process.exchange(request("a", expires="0.9"))).startswith(b"HTTP/1.1 200")
             (tmp_path / "operator.toml").write_text("[classes.look]\ndeadline_ms = 'x'\n[nothing]\nx = 1\n")
             process.signal(signal.SIGHUP)
             await wait_until(lambda: b"the old configuration stays" in process.log.read_bytes())
@@ -256,27 +259,27 @@
             (tmp_path / "operator.toml").write_text("[process]\nbacklog = 64\n")
             process.signal(signal.SIGHUP)
             await wait_until(lambda: b"backlog has changed, which takes a restart" in process.log.read_bytes())
-            name = trace_ids()
-            while not (await process.ask(request(name(), expires="0.9"))).startswith(b"HTTP/1.1 200"):
-                await asyncio.sleep(0.05)  # a node that timed out is on trial first
+            next_id = trace_ids()
+            while not (await process.exchange(request(next_id(), expires="0.9"))).startswith(b"HTTP/1.1 200"):
+                await asyncio.sleep(0.05)  # a node that timed out gets only probes at first
             assert b"Traceback" not in process.log.read_bytes()
 
     asyncio.run(main())
 
 
 @pytest.mark.parametrize(
-    "arguments, said",
+    "arguments, reason",
     [
         (["--operator", "no/such/file"], "cannot be read"),
         (["--operator"], "usage: covetally [--operator FILE]"),
         (["--operater", "x"], "usage: covetally [--operator FILE]"),
     ],
 )
-def test_a_start_that_cannot_be_is_one_line(tmp_path, arguments, said):
-    assert said in line_of_a_start_that_fails(tmp_path, {}, *arguments)
+def test_a_failed_start_is_reported_in_one_line(tmp_path, arguments, reason):
+    assert reason in failed_start(tmp_path, {}, *arguments)
 
 
-def test_the_operators_file_may_be_named_by_the_environment_and_the_argument_wins(monkeypatch):
+def test_the_operators_file_is_named_by_the_environment_or_by_the_argument_which_has_precedence(monkeypatch):
     monkeypatch.setenv("COVETALLY_OPERATOR", "/from/env")
     assert operator_file([]) == "/from/env"
     assert operator_file(["--operator", "/from/argument"]) == "/from/argument"
@@ -284,7 +287,7 @@
     assert operator_file([]) is None
 
 
-def test_without_an_operators_file_nothing_of_it_is_imported(tmp_path):
+def test_without_an_operators_file_no_optional_module_is_imported(tmp_path):
     path = tmp_path / "config.json"
     path.write_text(json.dumps({"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": SETTINGS}))
     code = (
@@ -294,7 +297,7 @@
         " ('net', 'policy', 'interface', 'errors', 'process', 'configuration', 'signals', 'loop_monitor')],"
         " 'tomllib' in sys.modules)"
     )
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-c", code],
         cwd=ROOT,
         env=os.environ | {"EDGE_CONFIG": str(path)},
@@ -302,4 +305,4 @@
         text=True,
         check=True,
     )
-    assert done.stdout.strip() == "[] False"
+    assert completed.stdout.strip() == "[] False"
