--- a/covetally/membership/membership_view.py
+++ b/covetally/membership/membership_view.py
@@ -97,9 +97,8 @@
         self._pending_returns: dict[
             str, int
         ] = {}  # removed nodes that are listed again but must wait, and since when
-        self._recent_removals: deque[tuple[int, int]] = (
-            deque()
-        )  # (time, number of nodes removed without being held)
+        # Time and number of the nodes that were removed without being held.
+        self._recent_removals: deque[tuple[int, int]] = deque()
         self._last_complete_at = now
         self._initial = True  # no nodes were read or restored yet
         self._last_listed: frozenset[str] = frozenset()
@@ -148,8 +147,8 @@
         registries that have both just restarted agree on an empty list, and on whichever nodes came back first.
         """
         updates: dict[str, MemberUpdate] = {}
-        lists_some = any(member.state == UP for member in snapshot.members.values())
-        if snapshot.complete and lists_some and self._stable and self.mode == AUTO:
+        any_up_listed = any(member.state == UP for member in snapshot.members.values())
+        if snapshot.complete and any_up_listed and self._stable and self.mode == AUTO:
             for name in self.held_nodes():
                 if name not in snapshot.members and name not in snapshot.invalid:
                     self.counts["confirmed"] += 1
@@ -293,6 +292,7 @@
         return next((n for n in self.nodes.values() if n.member.address == address), None)
 
     def _return_must_wait(self, removed: _RemovedNode, member: Member, endpoint: str) -> bool:
+        """Whether a removed node that is listed again may be listed only because of outdated data."""
         if endpoint == removed.endpoint and (
             removed.was_doubted or self.counts["reads"] - removed.removed_at_read < CONFIRMED_MISSES
         ):
@@ -312,11 +312,11 @@
         return MemberUpdate(node.member, lifecycle, node.started_ns)
 
     def _remove_node(
-        self, name: str, updates: dict[str, MemberUpdate], succeeded: bool = False, was_doubted: bool = False
+        self, name: str, updates: dict[str, MemberUpdate], replaced: bool = False, was_doubted: bool = False
     ) -> None:
         node = self.nodes.pop(name)
         self.counts["dropped"] += 1
-        if not succeeded:
+        if not replaced:
             if len(self._removed) >= MAX_REMOVED:
                 del self._removed[next(iter(self._removed))]
             self._removed.pop(name, None)
@@ -336,7 +336,7 @@
         for name in missing:
             node = self.nodes[name]
             if node.member.address in addresses:
-                self._remove_node(name, updates, succeeded=True)
+                self._remove_node(name, updates, replaced=True)
             elif node.member.state != UP and self.mode == AUTO:
                 self._remove_node(name, updates)  # it received no work anyway
             else:
--- a/tests/membership/test_processes.py
+++ b/tests/membership/test_processes.py
@@ -30,6 +30,7 @@
 
 @asynccontextmanager
 async def sidecars_on_registry(nodes: int = 8, peers: int = 1, settings: str = HOLD, **options):
+    """Starts two sidecars that read their nodes from a test registry."""
     async with Registered(
         Shape(nodes=nodes, instances=2, work_scale=0.5), peers, more=settings, **options
     ) as rig:
@@ -44,6 +45,7 @@
 
 
 def assert_rules_kept(rig: Registered) -> None:
+    """Asserts that no rule was broken and over 95% of the requests were served."""
     verdict = rig.judge()
     assert verdict.kept, verdict.breaks[:5]
     assert verdict.served > 0.95 * verdict.asked, verdict.table()
