--- a/benchmarks/tier.py
+++ b/benchmarks/tier.py
@@ -14,8 +14,8 @@
 
 from benchmarks.report import progress, show
 from covetally.lab.tier import Tier
-from covetally.tier.members import SECOND, State
-from covetally.tier.wire import HEAD
+from covetally.tier.swim import SECOND, State
+from covetally.tier.wire import HEADER
 
 
 def play(size: int, seed: int, lost: float) -> dict[str, float]:
@@ -48,7 +48,7 @@
         for share in map(float, lost.split(",")):
             plays = [play(size, seed, share) for seed in range(1, seeds + 1)]
             row = {key: round(max(p[key] for p in plays), 1) for key in plays[0]}
-            rows[f"{size} members, {share:.0%} lost"] = row | {"heartbeats_bytes_per_s": HEAD.size * (size - 1)}
+            rows[f"{size} members, {share:.0%} lost"] = row | {"heartbeats_bytes_per_s": HEADER.size * (size - 1)}
             progress(f"{size} members, {share:.0%} lost: {row}")
     show(f"who is there, the worst of {seeds} seeds", rows, as_json)
 
--- a/benchmarks/verdicts.py
+++ b/benchmarks/verdicts.py
@@ -30,7 +30,7 @@
     sent, octets, cpu = sum(calls.tier.sent.values()), calls.tier.bytes, time.process_time()
     calls.run(15)
     after = sum(count for (_, name), count in calls.failed.items() if name == "n4") - failed
-    others = {a.server for n in calls.tier.nodes for a in calls.advice(n).avoid} - {"n4"}
+    others = {a.server for n in calls.tier.nodes for a in calls.advice(n).servers} - {"n4"}
     return {
         "known_s": known, "failed": failed, "calls_after": after, "wrongly_avoided": len(others),
         "datagrams_per_s": (sum(calls.tier.sent.values()) - sent) / 15 / size,
@@ -72,7 +72,7 @@
         calls.run(0.5)
         for number in calls.tier.nodes:
             if number not in calls.liars:
-                seen += len({a.server for a in calls.advice(number).avoid})
+                seen += len({a.server for a in calls.advice(number).servers})
                 looks += 1
     return seen / looks / nodes
 
--- a/covetally/configuration.py
+++ b/covetally/configuration.py
@@ -20,7 +20,7 @@
     from covetally.membership.settings import Plan
     from covetally.operator.schema import Values
     from covetally.overload.settings import Plan as Overload
-    from covetally.tier.settings import Plan as Tier
+    from covetally.tier.settings import TierConfig as Tier
 
 log = logging.getLogger("covetally")
 
@@ -231,7 +231,7 @@
     _needs_peers(config, asking[0], values)
     from covetally.tier import settings
 
-    return settings.plan(config.settings, len(config.peers), values)
+    return settings.tier_config(config.settings, len(config.peers), values)
 
 
 def _overload(config: Config, values: Values) -> Overload | None:
--- a/covetally/lab/limits.py
+++ b/covetally/lab/limits.py
@@ -11,8 +11,8 @@
 
 from covetally.lab.tier import Whole
 from covetally.rig.schedule import Schedule
-from covetally.tier.limits import KEEP, LOWER, SPARE, Rule
-from covetally.tier.node import Site
+from covetally.tier.limits import RESERVED_FRACTION, RETURN_THRESHOLD, HEADROOM, Rule
+from covetally.tier.member import MemberConfig
 
 
 @dataclass(slots=True)
@@ -29,10 +29,10 @@
 
 def may_lie_unused(rule: Rule, demand: dict[int, float]) -> float:
     """The bound on what lies unused while others want more, where links are well: the part that each keeps, and
-    the headroom that each has over its demand: SPARE / LOWER times the demand may be held."""
+    the headroom that each has over its demand: HEADROOM / RETURN_THRESHOLD times the demand may be held."""
     wanted = [demand.get(n, 0.0) for n in range(rule.members)]
-    idle = sum(max(0.0, KEEP * rule.own - d) for d in wanted)
-    held = SPARE / LOWER
+    idle = sum(max(0.0, RESERVED_FRACTION * rule.quota - d) for d in wanted)
+    held = HEADROOM / RETURN_THRESHOLD
     return idle + min((held - 1.0) * sum(wanted), (1.0 - 1.0 / held) * rule.amount)
 
 
@@ -53,7 +53,7 @@
         if over > max(found.over, 1e-9):
             found.over, found.at_s = over, tier.now / 1e9
 
-    tier = Whole(rule.members, seed, lambda number: Site(rules=(rule,), verdicts=False), watch)
+    tier = Whole(rule.members, seed, lambda number: MemberConfig(rules=(rule,), outlier_detection=False), watch)
     tier.play(schedule, seconds)
     found.datagrams_per_s = sum(tier.sent.values()) / seconds / rule.members
     # Renewals and loans may still be under way: the least of some moments, a look apart.
--- a/covetally/lab/tier.py
+++ b/covetally/lab/tier.py
@@ -14,10 +14,10 @@
 
 from covetally.interface import AttemptStatus
 from covetally.rig.schedule import WELL, Link, Schedule, Step
-from covetally.tier.limits import DRIFT
-from covetally.tier.members import SECOND, Members, Send, State, Timing
-from covetally.tier.node import Datagram, Node, Site
-from covetally.tier.wire import Garbage, decode, encode
+from covetally.tier.limits import MAX_CLOCK_DRIFT
+from covetally.tier.swim import SECOND, Membership, Outgoing, State, Timing
+from covetally.tier.member import Datagram, TierMember, MemberConfig
+from covetally.tier.wire import MalformedDatagramError, decode, encode
 
 Cut = Callable[[int, int], bool]
 
@@ -40,16 +40,16 @@
         # when, order, from, to, datagram; empty: time to tick
         self._events: list[tuple[int, int, int, int, bytes]] = []
         self._order = itertools.count()
-        self.members: dict[int, Members] = {}
+        self.members: dict[int, Membership] = {}
         self.stopped: set[int] = set()
         for number in range(size):
-            self.start(number, self.random.randrange(self.timing.period_ns))
+            self.start(number, self.random.randrange(self.timing.ping_interval_ns))
 
     def start(self, number: int, at: int | None = None) -> None:
         """A process under this number starts from nothing; one that was there is gone without a word."""
         at = self.now if at is None else at
         life, seed = self.random.getrandbits(32), self.random.getrandbits(32)
-        self.members[number] = Members(number, self.size, life, seed, at, self.timing)
+        self.members[number] = Membership(number, self.size, life, seed, at, self.timing)
         self.stopped.discard(number)
         self._wake(number, at)
 
@@ -105,8 +105,8 @@
         member = self.members[to]
         if data:
             try:
-                self._carry(to, member.heard(self.now, decode(data)))
-            except Garbage:
+                self._carry(to, member.receive(self.now, decode(data)))
+            except MalformedDatagramError:
                 self.garbage += 1
         elif self.now >= member.due:
             self._carry(to, member.tick(self.now))
@@ -118,7 +118,7 @@
     def _wake(self, number: int, at: int) -> None:
         self._arrive(max(at, self.now), number, number, b"")
 
-    def _carry(self, sender: int, sends: list[Send]) -> None:
+    def _carry(self, sender: int, sends: list[Outgoing]) -> None:
         for to, message in sends:
             data = encode(message)
             self.sent[sender] += 1
@@ -139,21 +139,24 @@
 
 
 class Whole(Tier):
-    """Whole members (`tier/node.py`: verdicts and limits too), each with a clock of its own, and schedules.
+    """Whole members (`tier/member.py`: verdicts and limits too), each with a clock of its own, and schedules.
 
-    Clocks are an hour apart and run faster or slower by up to half of `limits.DRIFT`. `watch` is called
+    Clocks are an hour apart and run faster or slower by up to half of `limits.MAX_CLOCK_DRIFT`. `watch` is called
     after every event.
     """
 
     def __init__(
-        self, size: int, seed: int, site: Callable[[int], Site], watch: Callable[[], None] = lambda: None
+        self, size: int, seed: int, site: Callable[[int], MemberConfig], watch: Callable[[], None] = lambda: None
     ) -> None:
-        self.nodes: dict[int, Node] = {}
+        self.nodes: dict[int, TierMember] = {}
         self.demand: dict[int, float] = {}
         self.links: dict[tuple[int, int], Link] = {}
         self._site, self._watch = site, watch
         clocks = random.Random(seed)
-        self._clock = {n: (1.0 + clocks.uniform(-DRIFT / 2, DRIFT / 2), n * 3600 * SECOND) for n in range(size)}
+        self._clock = {
+            n: (1.0 + clocks.uniform(-MAX_CLOCK_DRIFT / 2, MAX_CLOCK_DRIFT / 2), n * 3600 * SECOND)
+            for n in range(size)
+        }
         super().__init__(size, seed)
 
     def time(self, number: int) -> int:
@@ -167,8 +170,8 @@
 
     def start(self, number: int, at: int | None = None) -> None:
         life, seed = self.random.getrandbits(32), self.random.getrandbits(32)
-        node = Node(number, self.size, life, seed, self.time(number), self._site(number))
-        self.nodes[number], self.members[number] = node, node.members
+        node = TierMember(number, self.size, life, seed, self.time(number), self._site(number))
+        self.nodes[number], self.members[number] = node, node.membership
         self.stopped.discard(number)
         self._wake_node(number)
 
@@ -187,9 +190,9 @@
     def _happens(self, sender: int, to: int, data: bytes) -> bool:
         node, now = self.nodes[to], self.time(to)
         if data:
-            self._pass_on(to, node.heard(now, sender, data))
+            self._pass_on(to, node.receive(now, sender, data))
         elif now >= node.due:
-            rule = next(iter(node.shares.values())).rule.name if node.shares else ""
+            rule = next(iter(node.quotas.values())).rule.name if node.quotas else ""
             self._pass_on(to, node.tick(now, {rule: self.demand.get(to, 0.0)}))
         else:
             return False
@@ -212,7 +215,7 @@
         """A call that a member sent just now has ended."""
         if number in self.nodes and number not in self.stopped:
             now = self.time(number)
-            self.nodes[number].outcome(now, server, how, cls, now)
+            self.nodes[number].record_attempt(now, server, how, cls, now)
             self._wake_node(number)
 
     def play(self, schedule: Schedule, seconds: float) -> None:
--- a/covetally/lab/verdicts.py
+++ b/covetally/lab/verdicts.py
@@ -15,10 +15,10 @@
 from covetally.interface import AttemptStatus
 from covetally.lab.tier import Whole
 from covetally.rig.schedule import Schedule
-from covetally.tier.facts import What, Word
-from covetally.tier.members import SECOND
-from covetally.tier.node import Site
-from covetally.tier.verdicts import Advice
+from covetally.tier.reports import ReportKind, ReportStatus
+from covetally.tier.swim import SECOND
+from covetally.tier.member import MemberConfig
+from covetally.tier.outlier_detection import Ejections
 
 ZONES = ("a", "b", "c")
 STEP_S = 0.02
@@ -30,7 +30,7 @@
 
     def __init__(self, size: int, nodes: int, seed: int, rate: float = 20.0, classes: int = 1) -> None:
         self.zone_of = {f"n{i}": i % len(ZONES) for i in range(nodes)}
-        self.tier = Whole(size, seed, lambda n: Site(zones=ZONES, zone=n % len(ZONES)))
+        self.tier = Whole(size, seed, lambda n: MemberConfig(zones=ZONES, zone=n % len(ZONES)))
         self.random = random.Random(seed)
         self.rate, self.classes = rate, classes
         self.fate: Fate = lambda member, node, cls: AttemptStatus.OK
@@ -41,16 +41,16 @@
         self.trials: list[tuple[float, int, str]] = []
         self._used: dict[tuple[int, str], int] = {}
         for node in self.tier.nodes.values():
-            node.listed(self.zone_of)
+            node.update_servers(self.zone_of)
 
-    def advice(self, member: int) -> Advice:
+    def advice(self, member: int) -> Ejections:
         """What a member's balancer is told."""
-        return self.tier.nodes[member].advice()
+        return self.tier.nodes[member].ejections()
 
     def avoiding(self, node: str, cls: int = -1) -> float:
         """The share of members that are told to avoid a node."""
         there = [n for n in self.tier.nodes if n not in self.liars]
-        return sum(any(a == (node, cls) for a in self.advice(n).avoid) for n in there) / len(there)
+        return sum(any(a == (node, cls) for a in self.advice(n).servers) for n in there) / len(there)
 
     def run(self, seconds: float, until: Callable[[], bool] | None = None) -> float:
         """Let members call for so long, or until that holds; the seconds that passed."""
@@ -71,22 +71,24 @@
             self.run(max(0.0, began + step.at - self.tier.now / SECOND))
             self.tier.play((replace(step, at=0.0),), 0)
             for node in self.tier.nodes.values():
-                node.listed(self.zone_of)
+                node.update_servers(self.zone_of)
         self.run(max(0.0, began + seconds - self.tier.now / SECOND))
 
     def _calls_of(self, member: int) -> None:
         if member in self.liars:
-            facts = self.tier.nodes[member].facts
+            facts = self.tier.nodes[member].reports
             for name in self.liars[member]:
-                facts.say(self.tier.time(member), What.NODE, crc32(name.encode()), Word.FAILS, 0)
+                facts.publish(
+                    self.tier.time(member), ReportKind.SERVER, crc32(name.encode()), ReportStatus.FAILING, 0
+                )
             return
         if self.random.random() >= self.rate * STEP_S:
             return
         cls = self.random.randrange(self.classes)
         advice = self.advice(member)
-        avoid = {a.server for a in advice.avoid if a.cls in (-1, cls)}
+        avoid = {a.server for a in advice.servers if a.cls in (-1, cls)}
         now = self.tier.now
-        for name in advice.turns:
+        for name in advice.probes:
             if now - self._used.get((member, name), -SECOND) >= SECOND // 2:
                 self._used[member, name] = now
                 self.trials.append((now / SECOND, member, name))
--- a/covetally/process.py
+++ b/covetally/process.py
@@ -42,7 +42,7 @@
     from covetally.membership.settings import Plan
     from covetally.operator.schema import Values
     from covetally.shared_decisions import SharedDecisions
-    from covetally.tier.shell import Shell
+    from covetally.tier.transport import TierTransport
 
 TIER_MARK, TIER_LEAST = 0x54, 18  # see covetally/tier/wire.py
 WORD_MARK, WORD_LEAST = 0x57, 13  # see covetally/gossip/frame.py
@@ -82,7 +82,7 @@
         self.serving = False  # it takes requests
         self.on_ready: Callable[[], None] | None = None
         self.roster: Roster | None = None
-        self.tier: Shell | None = None
+        self.tier: TierTransport | None = None
         self.shared_decisions: SharedDecisions | None = None
         self.registrar: Registrar | None = None
         self.monitor = LoopMonitor()
@@ -231,14 +231,14 @@
         self.upstream.update(news.entries, news.whole)
         self.sidecar.directory(ServerListUpdate(scope, tuple(entry for entry, _ in news.entries)))
         if self.tier is not None:
-            self.tier.listed(self.sidecar.zones())
+            self.tier.update_servers(self.sidecar.zones())
 
     # --- the tier -------------------------------------------------------------------------------
 
     def _datagram(self, sender: int, data: bytes) -> None:
         """The module's rumours have 8 bytes; the tier's messages begin with their mark and have more."""
         if self.tier is not None and len(data) > TIER_LEAST and data[0] == TIER_MARK:
-            self.tier.heard(sender, data)
+            self.tier.receive(sender, data)
         elif self.shared_decisions is not None and len(data) >= WORD_LEAST and data[0] == WORD_MARK:
             self.shared_decisions.receive(sender, data)
         else:
@@ -252,15 +252,15 @@
                 self.tier.stop()
                 self.tier = self.sidecar.on_attempt = None
         elif self.tier is not None:
-            self.tier.change(plan.size, plan.held)
+            self.tier.reconfigure(plan.size, plan.limits)
         else:
-            from covetally.tier.shell import Parts, Shell
+            from covetally.tier.transport import TierTransport, TransportCallbacks
 
-            parts = Parts(self.clock.now, self.peers.send, self.sidecar.advise, self.sidecar.demand)
+            parts = TransportCallbacks(self.clock.now, self.peers.send, self.sidecar.advise, self.sidecar.demand)
             life, seed = secrets.randbits(32), self.config.seed
-            self.tier = Shell(plan.me, plan.size, life, seed, plan.site, plan.held, parts)
-            self.sidecar.on_attempt = self.tier.outcome
-            self.tier.listed(self.sidecar.zones())
+            self.tier = TierTransport(plan.index, plan.size, life, seed, plan.member, plan.limits, parts)
+            self.sidecar.on_attempt = self.tier.record_attempt
+            self.tier.update_servers(self.sidecar.zones())
             self.tier.start()
 
     def _respeak(self) -> None:
--- a/covetally/tier/limits.py
+++ b/covetally/tier/limits.py
@@ -34,12 +34,12 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-DRIFT = 0.01  # by so much at most a clock runs faster or slower than another
-KEEP = 0.25  # of its own part, which a member never lends
-SPARE = 1.25  # times its demand that a member wants to have
-FIRST_PAUSE_NS = 250_000_000  # after a Want that brought nothing, then doubled, to half a lease
-LOWER = 0.9  # a borrower gives back when it needs less than this share of what it borrowed
-LEAST = 1e-3  # of its own part: loans smaller than this are not worth a datagram
+MAX_CLOCK_DRIFT = 0.01  # by so much at most a clock runs faster or slower than another
+RESERVED_FRACTION = 0.25  # of its own part, which a member never lends
+HEADROOM = 1.25  # times its demand that a member wants to have
+FIRST_RETRY_DELAY_NS = 250_000_000  # after a Want that brought nothing, then doubled, to half a lease
+RETURN_THRESHOLD = 0.9  # a borrower gives back when it needs less than this share of what it borrowed
+MIN_LOAN_FRACTION = 1e-3  # of its own part: loans smaller than this are not worth a datagram
 
 
 @dataclass(frozen=True, slots=True)
@@ -56,186 +56,197 @@
     burst_s: float = 1.0
 
     @property
-    def own(self) -> float:
+    def quota(self) -> float:
         """Each member's part."""
         return self.amount / self.members
 
     @property
-    def fence_ns(self) -> int:
+    def hold_ns(self) -> int:
         """How long a lender leaves alone what it lent, after it last granted it."""
-        return math.ceil(self.lease_ns * (1.0 + DRIFT)) + self.linger_ns
+        return math.ceil(self.lease_ns * (1.0 + MAX_CLOCK_DRIFT)) + self.linger_ns
 
 
-class Want(NamedTuple):
+class LeaseRequest(NamedTuple):
     """A borrower's word to all; see the table."""
 
-    seq: int
-    keep: float
-    each: float
+    sequence: int
+    keep_fraction: float
+    additional: float
 
 
 class Grant(NamedTuple):
     """A lender's answer; see the table."""
 
-    seq: int
+    sequence: int
     amount: float
 
 
 @dataclass(slots=True)
-class _Lent:
+class _GrantedLoan:
     amount: float
-    seq: int
-    end: int
+    sequence: int
+    expires_at: int
 
 
 @dataclass(slots=True)
-class _Borrowed:
+class _BorrowedLoan:
     amount: float
-    seq: int
-    lapse: int
+    sequence: int
+    expires_at: int
 
 
-class Usable(NamedTuple):
+class UsableQuota(NamedTuple):
     """What this member may use: `amount` until `until_ns`, and `then` after that, if it hears nothing else."""
 
     amount: float
     until_ns: int
-    then: float
+    fallback: float
 
 
-class Share:
+class MemberQuota:
     """One member's part of one limit. `life` is its member's: the numbers of its Wants begin with it, so that a
     Grant which was on its way to the life before is none of this one's."""
 
-    def __init__(self, rule: Rule, now: int, life: int) -> None:
+    def __init__(self, rule: Rule, now: int, boot_id: int) -> None:
         self.rule = rule
-        self.fence = now + rule.fence_ns
+        self.hold_until = now + rule.hold_ns
         self.demand = 0.0  # what it could use, of late
-        self.lent_out = self.asked = 0  # counters
-        self._lent: dict[tuple[int, int], _Lent] = {}  # by borrower and its life
-        self._borrowed: dict[int, _Borrowed] = {}  # by lender
-        self._seq = life << 32
+        self.loan_count = self.request_count = 0  # counters
+        self._lent: dict[tuple[int, int], _GrantedLoan] = {}  # by borrower and its life
+        self._borrowed: dict[int, _BorrowedLoan] = {}  # by lender
+        self._seq = boot_id << 32
         self._sent: dict[int, int] = {}  # when each Want was sent that may still be answered
-        self._lowered = 0  # the last Want that lowered what is borrowed
-        self._round = 0  # Wants in a row that were not filled
-        self._pause = self._ask_at = 0  # who gets nothing asks more and more seldom
-        self._had = self._needed = 0.0  # at the last Want
+        self._last_reduction = 0  # the last Want that lowered what is borrowed
+        self._unfilled = 0  # Wants in a row that were not filled
+        self._retry_delay_ns = self._next_request_at = 0  # who gets nothing asks more and more seldom
+        self._previous_borrowed = self._previous_shortfall = 0.0  # at the last Want
 
     # --- what may be used -----------------------------------------------------------------------
 
-    def own(self, now: int) -> float:
+    def retained(self, now: int) -> float:
         """Of its own part, what it has not lent; little after a start."""
-        if now < self.fence:
-            return KEEP * self.rule.own
-        return self.rule.own - sum(lent.amount for lent in self._lent.values() if now < lent.end)
+        if now < self.hold_until:
+            return RESERVED_FRACTION * self.rule.quota
+        return self.rule.quota - sum(lent.amount for lent in self._lent.values() if now < lent.expires_at)
 
     def borrowed(self, now: int) -> float:
         """What it may use of others' parts."""
-        return sum(b.amount for b in self._borrowed.values() if now < b.lapse)
+        return sum(b.amount for b in self._borrowed.values() if now < b.expires_at)
 
-    def usable(self, now: int) -> Usable:
+    def usable(self, now: int) -> UsableQuota:
         """What it may use from now on."""
-        own = self.own(now)
-        lapses = [b.lapse for b in self._borrowed.values() if now < b.lapse]
-        return Usable(own + self.borrowed(now), min(lapses, default=now + self.rule.lease_ns), own)
+        retained = self.retained(now)
+        expirations = [b.expires_at for b in self._borrowed.values() if now < b.expires_at]
+        return UsableQuota(
+            retained + self.borrowed(now), min(expirations, default=now + self.rule.lease_ns), retained
+        )
 
     def lent(self, now: int) -> float:
         """What others may be using of its part."""
-        return sum(lent.amount for lent in self._lent.values() if now < lent.end)
+        return sum(lent.amount for lent in self._lent.values() if now < lent.expires_at)
 
     # --- events ---------------------------------------------------------------------------------
 
-    def change(self, now: int, rule: Rule) -> None:
+    def update_rule(self, now: int, rule: Rule) -> None:
         """The limit has another amount, or the tier another size. Loans run on. Where it lends on other terms, it
         begins as after a start."""
-        if rule.fence_ns != self.rule.fence_ns:
-            self.fence = now + max(rule.fence_ns, self.rule.fence_ns)
-        if rule.own < self.rule.own:
-            scale = rule.own / self.rule.own
+        if rule.hold_ns != self.rule.hold_ns:
+            self.hold_until = now + max(rule.hold_ns, self.rule.hold_ns)
+        if rule.quota < self.rule.quota:
+            scale = rule.quota / self.rule.quota
             for borrowed in self._borrowed.values():
                 borrowed.amount *= scale  # its lenders take the same turn
-            self._lowered = self._seq + 1
+            self._last_reduction = self._seq + 1
         self.rule = rule
 
-    def tick(self, now: int, demand: float) -> Want | None:
+    def tick(self, now: int, demand: float) -> LeaseRequest | None:
         """Time has passed; `demand` is what this member could use. What to ask of all, if anything."""
         self.demand = max(0.0, demand)
         rule = self.rule
-        for key in [key for key, lent in self._lent.items() if now >= lent.end]:
+        for key in [key for key, lent in self._lent.items() if now >= lent.expires_at]:
             del self._lent[key]
-        for lender in [n for n, b in self._borrowed.items() if now >= b.lapse]:
+        for lender in [n for n, b in self._borrowed.items() if now >= b.expires_at]:
             del self._borrowed[lender]
-        for seq in [seq for seq, sent in self._sent.items() if now - sent >= rule.lease_ns]:
-            del self._sent[seq]
-        wanted, own, borrowed = self.demand * SPARE, self.own(now), self.borrowed(now)
-        need = wanted - own - borrowed
-        keep = 1.0
-        if borrowed > 0 and need < -LEAST * rule.own:
-            keep = max(0.0, (wanted - own) / borrowed)
-        renew = any(b.lapse - now < rule.lease_ns // 2 for b in self._borrowed.values())
-        lower = keep < LOWER
-        if need <= LEAST * rule.own:
-            self._round = self._pause = 0
-            if not (renew or lower):
+        for sequence in [sequence for sequence, sent in self._sent.items() if now - sent >= rule.lease_ns]:
+            del self._sent[sequence]
+        target, retained, borrowed = self.demand * HEADROOM, self.retained(now), self.borrowed(now)
+        shortfall = target - retained - borrowed
+        keep_fraction = 1.0
+        if borrowed > 0 and shortfall < -MIN_LOAN_FRACTION * rule.quota:
+            keep_fraction = max(0.0, (target - retained) / borrowed)
+        renew = any(b.expires_at - now < rule.lease_ns // 2 for b in self._borrowed.values())
+        reduce = keep_fraction < RETURN_THRESHOLD
+        if shortfall <= MIN_LOAN_FRACTION * rule.quota:
+            self._unfilled = self._retry_delay_ns = 0
+            if not (renew or reduce):
                 return None
-            need = 0.0
-        elif borrowed > self._had or need > 2 * self._needed:
-            self._pause = 0
-        elif not renew and now < self._ask_at:
+            shortfall = 0.0
+        elif borrowed > self._previous_borrowed or shortfall > 2 * self._previous_shortfall:
+            self._retry_delay_ns = 0
+        elif not renew and now < self._next_request_at:
             return None
         else:
-            self._pause = min(max(2 * self._pause, FIRST_PAUSE_NS), rule.lease_ns // 2)
-        self._had, self._needed, self._ask_at = borrowed, need, now + self._pause
+            self._retry_delay_ns = min(max(2 * self._retry_delay_ns, FIRST_RETRY_DELAY_NS), rule.lease_ns // 2)
+        self._previous_borrowed, self._previous_shortfall, self._next_request_at = (
+            borrowed,
+            shortfall,
+            now + self._retry_delay_ns,
+        )
         self._seq += 1
         self._sent[self._seq] = now
-        if lower:
+        if reduce:
             for b in self._borrowed.values():
-                b.amount *= keep
-            if keep == 0.0:
+                b.amount *= keep_fraction
+            if keep_fraction == 0.0:
                 self._borrowed.clear()
-            self._lowered = self._seq
+            self._last_reduction = self._seq
         else:
-            keep = 1.0
-        each = min(need, need * 2.0**self._round / max(1, rule.members - 1))
-        self._round = min(self._round + 1, 32) if need else 0
-        self.asked += 1
-        return Want(self._seq, keep, each)
+            keep_fraction = 1.0
+        additional = min(shortfall, shortfall * 2.0**self._unfilled / max(1, rule.members - 1))
+        self._unfilled = min(self._unfilled + 1, 32) if shortfall else 0
+        self.request_count += 1
+        return LeaseRequest(self._seq, keep_fraction, additional)
 
-    def want(self, now: int, borrower: int, life: int, want: Want) -> Grant | None:
+    def handle_request(self, now: int, borrower: int, boot_id: int, request: LeaseRequest) -> Grant | None:
         """Another member asks. What it is granted, if anything."""
         rule = self.rule
-        if not (0.0 <= want.keep <= 1.0 and 0.0 <= want.each < math.inf) or now < self.fence:
+        if (
+            not (0.0 <= request.keep_fraction <= 1.0 and 0.0 <= request.additional < math.inf)
+            or now < self.hold_until
+        ):
             return None
-        lent = self._lent.get((borrower, life))
-        if lent is not None and now >= lent.end:
+        lent = self._lent.get((borrower, boot_id))
+        if lent is not None and now >= lent.expires_at:
             lent = None
-        if lent is not None and want.seq <= lent.seq:
+        if lent is not None and request.sequence <= lent.sequence:
             return None
-        amount = lent.amount * want.keep if lent is not None else 0.0
-        others = self.lent(now) - (lent.amount if lent is not None else 0.0)
+        amount = lent.amount * request.keep_fraction if lent is not None else 0.0
+        lent_to_others = self.lent(now) - (lent.amount if lent is not None else 0.0)
         if lent is not None:
-            lent.amount, lent.seq = amount, want.seq
+            lent.amount, lent.sequence = amount, request.sequence
         # What it may lend to this one: what it does not need itself, and never the part it keeps.
-        most = min((1.0 - KEEP) * rule.own, rule.own - self.demand * SPARE) - others
-        if amount > most and amount > 0.0:
+        lendable = (
+            min((1.0 - RESERVED_FRACTION) * rule.quota, rule.quota - self.demand * HEADROOM) - lent_to_others
+        )
+        if amount > lendable and amount > 0.0:
             return None  # it needs its own: the loan runs out
-        more = min(want.each, most - amount)
-        if more > LEAST * rule.own:
-            amount += more
-            self.lent_out += 1
+        extra = min(request.additional, lendable - amount)
+        if extra > MIN_LOAN_FRACTION * rule.quota:
+            amount += extra
+            self.loan_count += 1
         if amount <= 0.0:
             return None
-        self._lent[borrower, life] = _Lent(amount, want.seq, now + rule.fence_ns)
-        return Grant(want.seq, amount)
+        self._lent[borrower, boot_id] = _GrantedLoan(amount, request.sequence, now + rule.hold_ns)
+        return Grant(request.sequence, amount)
 
-    def granted(self, now: int, lender: int, grant: Grant) -> None:
+    def handle_grant(self, now: int, lender: int, grant: Grant) -> None:
         """A member has answered a Want of this life's."""
-        sent = self._sent.get(grant.seq)
+        sent = self._sent.get(grant.sequence)
         known = self._borrowed.get(lender)
-        if sent is None or now - sent >= self.rule.lease_ns or grant.seq < self._lowered:
+        if sent is None or now - sent >= self.rule.lease_ns or grant.sequence < self._last_reduction:
             return
-        if not 0.0 < grant.amount <= (1.0 - KEEP) * self.rule.own * 1.000001:
+        if not 0.0 < grant.amount <= (1.0 - RESERVED_FRACTION) * self.rule.quota * 1.000001:
             return  # nobody lends more: of a liar no more is believed than it could have lent
-        if known is not None and (grant.seq <= known.seq or grant.amount < known.amount * 0.999999):
+        if known is not None and (grant.sequence <= known.sequence or grant.amount < known.amount * 0.999999):
             return
-        self._borrowed[lender] = _Borrowed(grant.amount, grant.seq, sent + self.rule.lease_ns)
+        self._borrowed[lender] = _BorrowedLoan(grant.amount, grant.sequence, sent + self.rule.lease_ns)
--- a/covetally/tier/settings.py
+++ b/covetally/tier/settings.py
@@ -9,39 +9,39 @@
 from covetally.operator.check import OperatorError, Problem
 from covetally.operator.schema import IN_FLIGHT, RATE, Value
 from covetally.tier.limits import Rule
-from covetally.tier.node import LOANS_NS, Site
-from covetally.tier.shell import Held
+from covetally.tier.member import LEASE_CHECK_INTERVAL_NS, MemberConfig
+from covetally.tier.transport import TenantLimit
 
-SPARE_NS = SECOND  # past a class's deadline: its last attempt is closed
+RESPONSE_MARGIN_NS = SECOND  # past a class's deadline: its last attempt is closed
 
 
 @dataclass(frozen=True, slots=True)
-class Plan:
+class TierConfig:
     """How a member takes part: its number, how many there are, and the limits that they hold."""
 
-    me: int
+    index: int
     size: int
-    site: Site
-    held: tuple[Held, ...]
+    member: MemberConfig
+    limits: tuple[TenantLimit, ...]
 
 
-def plan(settings: Settings, peers: int, values: Mapping[str, Value]) -> Plan:
+def tier_config(settings: Settings, peers: int, values: Mapping[str, Value]) -> TierConfig:
     """The plan for a sidecar of `peers`; OperatorError where a limit could not hold."""
     problems: list[Problem] = []
     if not 0 <= settings.index < peers:
         reason = f"this sidecar's number is {settings.index}, and {peers} are listed"
         raise OperatorError([Problem("peers", peers, reason, "list every sidecar of the tier, in order")])
     lease_s, delay_ms = float(values.get("tier.lease_s", 4)), float(values.get("tier.delay_ms", 50))
-    least_s = 2 * (LOANS_NS / SECOND + 2 * delay_ms / 1000)
-    if lease_s < least_s:
+    min_lease_s = 2 * (LEASE_CHECK_INTERVAL_NS / SECOND + 2 * delay_ms / 1000)
+    if lease_s < min_lease_s:
         reason = (
-            f"a loan is asked for again when half of its time is left: {LOANS_NS / SECOND:g} s until that "
-            f"is seen and 2 x {delay_ms:g} ms on the way do not fit into {lease_s / 2:g} s"
+            f"a loan is asked for again when half of its time is left: {LEASE_CHECK_INTERVAL_NS / SECOND:g} s "
+            f"until that is seen and 2 x {delay_ms:g} ms on the way do not fit into {lease_s / 2:g} s"
         )
-        problems.append(Problem("tier.lease_s", lease_s, reason, f"at least {least_s:g}"))
+        problems.append(Problem("tier.lease_s", lease_s, reason, f"at least {min_lease_s:g}"))
     tenants = {tenant.name: number for number, tenant in enumerate(settings.tenants)}
-    linger_ns = max(c.deadline_ns for c in settings.classes) + SPARE_NS
-    held = []
+    linger_ns = max(c.deadline_ns for c in settings.classes) + RESPONSE_MARGIN_NS
+    limits = []
     for name, value in sorted(values.items()):
         prefix = next((p for p in (RATE, IN_FLIGHT) if name.startswith(p)), None)
         if prefix is None:
@@ -57,11 +57,11 @@
             linger_ns=linger_ns if in_flight else 0, in_flight=in_flight,
             burst_s=float(values.get("tier.burst_s", 1)),
         )  # fmt: skip
-        held.append(Held(tenants[tenant], rule))
-    if held and "workers.count" in values and values["workers.count"] != 1:
+        limits.append(TenantLimit(tenants[tenant], rule))
+    if limits and "workers.count" in values and values["workers.count"] != 1:
         reason = "a limit is one process's to keep: each worker would use all of this sidecar's part"
         problems.append(Problem("workers.count", values["workers.count"], reason, "1, or no tier limits"))
     if problems:
         raise OperatorError(problems)
-    site = Site(zones=settings.zones, zone=settings.zone, rules=tuple(h.rule for h in held))
-    return Plan(settings.index, peers, site, tuple(held))
+    member = MemberConfig(zones=settings.zones, zone=settings.zone, rules=tuple(limit.rule for limit in limits))
+    return TierConfig(settings.index, peers, member, tuple(limits))
--- a/covetally/tier/wire.py
+++ b/covetally/tier/wire.py
@@ -24,20 +24,20 @@
 from struct import error as StructError
 
 from covetally.errors import DamagedError
-from covetally.tier.facts import AGE_NS, Fact, What, Word
-from covetally.tier.members import Kind, Loan, Message, Rumour, State
+from covetally.tier.reports import AGE_UNIT_NS, Report, ReportKind, ReportStatus
+from covetally.tier.swim import MessageKind, LeasePayload, Message, MemberUpdate, State
 
-MARK, VERSION = 0x54, 1
-MOST_BYTES = 256
-HEAD = Struct(">BBBBHIIHH")
-RUMOUR = Struct(">HBIIH")
-LOAN = Struct(">IQdd")
-FACT = Struct(">BIIBBBB")
-LOANS = (Kind.WANT, Kind.GRANT)
-MOST_RUMOURS = (MOST_BYTES - HEAD.size) // RUMOUR.size - 3  # room for what later versions add
+MAGIC, VERSION = 0x54, 1
+MAX_DATAGRAM_BYTES = 256
+HEADER = Struct(">BBBBHIIHH")
+UPDATE = Struct(">HBIIH")
+LEASE = Struct(">IQdd")
+REPORT = Struct(">BIIBBBB")
+LEASE_KINDS = (MessageKind.LEASE_REQUEST, MessageKind.LEASE_GRANT)
+MAX_UPDATES = (MAX_DATAGRAM_BYTES - HEADER.size) // UPDATE.size - 3  # room for what later versions add
 
 
-class Garbage(DamagedError, ValueError):
+class MalformedDatagramError(DamagedError, ValueError):
     """Bytes that are no message of this table."""
 
     code = "datagram"
@@ -46,21 +46,25 @@
 
 def encode(message: Message) -> bytes:
     """The datagram for a message; rumours past the most, and facts past what fits, are left out."""
-    rumours = message.rumours[:MOST_RUMOURS]
-    head = HEAD.pack(
-        MARK, VERSION, message.kind, len(rumours), message.sender, message.life, message.incarnation,
-        message.number, message.target,
+    updates = message.updates[:MAX_UPDATES]
+    header = HEADER.pack(
+        MAGIC, VERSION, message.kind, len(updates), message.sender, message.boot_id, message.incarnation,
+        message.sequence, message.target,
     )  # fmt: skip
-    data = head + b"".join(RUMOUR.pack(r.member, r.state, r.incarnation, r.life, r.witness) for r in rumours)
-    if message.kind in LOANS and message.loan is not None:
-        data += LOAN.pack(*message.loan)
-    facts = message.facts[: (MOST_BYTES - len(data) - 1) // FACT.size]
+    data = header + b"".join(
+        UPDATE.pack(u.member, u.state, u.incarnation, u.boot_id, u.reporter) for u in updates
+    )
+    if message.kind in LEASE_KINDS and message.lease is not None:
+        data += LEASE.pack(*message.lease)
+    reports = message.reports[: (MAX_DATAGRAM_BYTES - len(data) - 1) // REPORT.size]
     return (
         data
-        + bytes((len(facts),))
+        + bytes((len(reports),))
         + b"".join(
-            FACT.pack(f.what, f.subject, f.counter, f.word, f.detail, f.zone, min(255, f.age_ns // AGE_NS))
-            for f in facts
+            REPORT.pack(
+                r.kind, r.subject, r.counter, r.status, r.detail, r.zone, min(255, r.age_ns // AGE_UNIT_NS)
+            )
+            for r in reports
         )
     )
 
@@ -68,36 +72,40 @@
 def decode(data: bytes) -> Message:
     """The message in a datagram; Garbage if it is none, is cut short, or has values out of range. Facts of kinds
     that this version does not know are passed over."""
-    if len(data) > MOST_BYTES:
-        raise Garbage("too long")
+    if len(data) > MAX_DATAGRAM_BYTES:
+        raise MalformedDatagramError("too long")
     try:
-        mark, version, kind, count, *rest = HEAD.unpack_from(data)
-        if mark != MARK or version < VERSION or count > MOST_RUMOURS:
-            raise Garbage("not of this table")
-        kind = Kind(kind)
-        rumours = []
+        magic, version, kind, count, *rest = HEADER.unpack_from(data)
+        if magic != MAGIC or version < VERSION or count > MAX_UPDATES:
+            raise MalformedDatagramError("not of this table")
+        kind = MessageKind(kind)
+        updates = []
         for i in range(count):
-            member, state, incarnation, life, witness = RUMOUR.unpack_from(data, HEAD.size + i * RUMOUR.size)
+            member, state, incarnation, boot_id, reporter = UPDATE.unpack_from(
+                data, HEADER.size + i * UPDATE.size
+            )
             if state == State.UNKNOWN:
-                raise Garbage("nobody tells that it knows nothing")
-            rumours.append(Rumour(member, State(state), incarnation, life, witness))
-        at = HEAD.size + count * RUMOUR.size
-        loan = None
-        if kind in LOANS:
-            loan = Loan(*LOAN.unpack_from(data, at))
-            at += LOAN.size
-        return Message(kind, *rest, tuple(rumours), _facts(data, at), loan)
+                raise MalformedDatagramError("nobody tells that it knows nothing")
+            updates.append(MemberUpdate(member, State(state), incarnation, boot_id, reporter))
+        offset = HEADER.size + count * UPDATE.size
+        lease = None
+        if kind in LEASE_KINDS:
+            lease = LeasePayload(*LEASE.unpack_from(data, offset))
+            offset += LEASE.size
+        return Message(kind, *rest, tuple(updates), _decode_reports(data, offset), lease)
     except (StructError, ValueError) as error:
-        raise Garbage(str(error)) from None
+        raise MalformedDatagramError(str(error)) from None
 
 
-def _facts(data: bytes, at: int) -> tuple[Fact, ...]:
-    facts = []
-    for i in range(data[at] if at < len(data) else 0):
-        what, subject, counter, word, detail, zone, age = FACT.unpack_from(data, at + 1 + i * FACT.size)
-        if what in _WHATS and word in _WORDS:
-            facts.append(Fact(What(what), subject, counter, Word(word), detail, zone, age * AGE_NS))
-    return tuple(facts)
+def _decode_reports(data: bytes, offset: int) -> tuple[Report, ...]:
+    reports = []
+    for i in range(data[offset] if offset < len(data) else 0):
+        kind, subject, counter, status, detail, zone, age = REPORT.unpack_from(data, offset + 1 + i * REPORT.size)
+        if kind in _REPORT_KINDS and status in _REPORT_STATUSES:
+            reports.append(
+                Report(ReportKind(kind), subject, counter, ReportStatus(status), detail, zone, age * AGE_UNIT_NS)
+            )
+    return tuple(reports)
 
 
-_WHATS, _WORDS = frozenset(What), frozenset(Word)
+_REPORT_KINDS, _REPORT_STATUSES = frozenset(ReportKind), frozenset(ReportStatus)
--- a/tests/tier/test_limits.py
+++ b/tests/tier/test_limits.py
@@ -10,9 +10,9 @@
 from covetally.lab.tier import Whole
 from covetally.rig.schedule import Link, Step, draw, load, save, shrink
 from covetally.tier import limits as module
-from covetally.tier.limits import KEEP, Grant, Rule, Share, Want
-from covetally.tier.members import SECOND
-from covetally.tier.node import Site
+from covetally.tier.limits import RESERVED_FRACTION, Grant, Rule, MemberQuota, LeaseRequest
+from covetally.tier.swim import SECOND
+from covetally.tier.member import MemberConfig
 
 RULE = Rule("rate", 100.0, 6)
 CALLS = Rule("calls", 60.0, 6, linger_ns=2 * SECOND, in_flight=True)
@@ -36,7 +36,7 @@
 
 
 def tier_of(rule: Rule, seed: int = 1) -> Whole:
-    tier = Whole(rule.members, seed, lambda number: Site(rules=(rule,), verdicts=False))
+    tier = Whole(rule.members, seed, lambda number: MemberConfig(rules=(rule,), outlier_detection=False))
     tier.run(10)
     return tier
 
@@ -58,9 +58,9 @@
     tier = tier_of(RULE)
     tier.demand = {0: 90.0}
     tier.run(5)
-    assert usable(tier, 0) > 3 * RULE.own
+    assert usable(tier, 0) > 3 * RULE.quota
     tier.play((Step(0, "link", (0,), (1, 2, 3, 4, 5), CUT), Step(0, "link", (1, 2, 3, 4, 5), (0,), CUT)), 4.2)
-    assert usable(tier, 0) == pytest.approx(RULE.own)
+    assert usable(tier, 0) == pytest.approx(RULE.quota)
 
 
 def test_a_holder_that_was_stopped_for_longer_than_its_share_lasts_notices_at_its_next_look():
@@ -68,12 +68,12 @@
     tier.demand = {0: 90.0}
     tier.run(5)
     held = usable(tier, 0)
-    told = tier.nodes[0].usable(tier.time(0))["rate"]
+    usable_quota = tier.nodes[0].usable(tier.time(0))["rate"]
     tier.stop(0)
     tier.run(5)
-    assert usable(tier, 0) == pytest.approx(RULE.own) and held > RULE.own
+    assert usable(tier, 0) == pytest.approx(RULE.quota) and held > RULE.quota
     # The balancer was told until when, and what it has then: nothing has to run for it to notice.
-    assert told.until_ns <= tier.time(0) and told.then == pytest.approx(RULE.own)
+    assert usable_quota.until_ns <= tier.time(0) and usable_quota.fallback == pytest.approx(RULE.quota)
 
 
 def test_a_limit_lowered_for_some_is_held_by_each_as_it_was_told():
@@ -95,43 +95,48 @@
     """Against a plain model that sees everything: the sum of what all may use."""
     rule = Rule("x", 90.0, 3)
     now = 100 * SECOND
-    shares = [Share(rule, 0, 1) for _ in range(3)]
-    lives = [1, 1, 1]
-    wants: list[tuple[int, int, Want]] = []
+    quotas = [MemberQuota(rule, 0, 1) for _ in range(3)]
+    boot_ids = [1, 1, 1]
+    requests: list[tuple[int, int, LeaseRequest]] = []
     grants: list[tuple[int, int, Grant]] = []
     for what, number, figure, wait in steps:
         if what == "d":
             now += wait
-            if (want := shares[number].tick(now, figure)) is not None:
-                wants.append((number, lives[number], want))
-        elif what == "w" and wants:  # any one that was ever sent, to any of the others, again or late
-            sender, life, want = wants[wait % len(wants)]
-            if sender != number and (grant := shares[number].want(now, sender, life, want)) is not None:
+            if (request := quotas[number].tick(now, figure)) is not None:
+                requests.append((number, boot_ids[number], request))
+        elif what == "w" and requests:  # any one that was ever sent, to any of the others, again or late
+            sender, boot_id, request = requests[wait % len(requests)]
+            if (
+                sender != number
+                and (grant := quotas[number].handle_request(now, sender, boot_id, request)) is not None
+            ):
                 grants.append((sender, number, grant))
         elif what == "g" and grants:
             to, lender, grant = grants[wait % len(grants)]
-            shares[to].granted(now, lender, grant)  # one for a life before, too
+            quotas[to].handle_grant(now, lender, grant)  # one for a life before, too
         elif what == "t":
             now += wait
         elif what == "r":
-            lives[number] += 1
-            shares[number] = Share(rule, now, lives[number])
-        assert sum(share.usable(now).amount for share in shares) <= 90.0 * (1 + 1e-9)
+            boot_ids[number] += 1
+            quotas[number] = MemberQuota(rule, now, boot_ids[number])
+        assert sum(quota.usable(now).amount for quota in quotas) <= 90.0 * (1 + 1e-9)
 
 
 def test_a_liar_takes_what_nobody_uses_and_no_more():
-    share = Share(RULE, 0, 1)
+    quota = MemberQuota(RULE, 0, 1)
     now = 100 * SECOND
-    share.tick(now, RULE.own / 2)
-    grant = share.want(now, 5, 1, Want(1, 1.0, 1e9))
+    quota.tick(now, RULE.quota / 2)
+    grant = quota.handle_request(now, 5, 1, LeaseRequest(1, 1.0, 1e9))
     assert grant is not None
-    assert share.own(now) >= RULE.own / 2
-    assert share.own(now) >= KEEP * RULE.own
-    assert Share(RULE, now, 2).want(now, 5, 1, Want(1, 1.0, 1e9)) is None  # it does not know what it lent before
-    share.tick(now, RULE.own)  # it needs its own again: the loan is not renewed
-    assert share.want(now + 1, 5, 1, Want(2, 1.0, 0.0)) is None
-    share.granted(now, 3, Grant(1, 1e9))
-    assert share.borrowed(now) == 0.0
+    assert quota.retained(now) >= RULE.quota / 2
+    assert quota.retained(now) >= RESERVED_FRACTION * RULE.quota
+    assert (
+        MemberQuota(RULE, now, 2).handle_request(now, 5, 1, LeaseRequest(1, 1.0, 1e9)) is None
+    )  # it does not know what it lent before
+    quota.tick(now, RULE.quota)  # it needs its own again: the loan is not renewed
+    assert quota.handle_request(now + 1, 5, 1, LeaseRequest(2, 1.0, 0.0)) is None
+    quota.handle_grant(now, 3, Grant(1, 1e9))
+    assert quota.borrowed(now) == 0.0
 
 
 def test_a_schedule_is_the_same_from_its_file_and_a_failing_one_is_shrunk(tmp_path):
@@ -153,64 +158,66 @@
     """A Grant is on its way while its borrower ends; the next life asks, too, and has it then. Found by seed 73
     of `python -m benchmarks.limits`, by which six members went over by 12.5 %."""
     rule, now = Rule("x", 90.0, 3), 100 * SECOND
-    lender, borrower = Share(rule, 0, 1), Share(rule, 0, 2)
-    grant = lender.want(now, 0, 2, borrower.tick(now, 60.0))
-    again = Share(rule, now + SECOND, 3)
+    lender, borrower = MemberQuota(rule, 0, 1), MemberQuota(rule, 0, 2)
+    grant = lender.handle_request(now, 0, 2, borrower.tick(now, 60.0))
+    again = MemberQuota(rule, now + SECOND, 3)
     assert again.tick(now + 4 * SECOND, 60.0) is not None
-    again.granted(now + 5 * SECOND, 1, grant)  # within its own lease, and past the lender's
+    again.handle_grant(now + 5 * SECOND, 1, grant)  # within its own lease, and past the lender's
     return again.borrowed(now + 5 * SECOND)
 
 
 def test_a_grant_for_the_life_before_is_not_taken(monkeypatch):
     assert late_grant() == 0.0
-    made = Share.__init__
-    monkeypatch.setattr(Share, "__init__", lambda self, rule, now, life: made(self, rule, now, 0))
+    original_init = MemberQuota.__init__
+    monkeypatch.setattr(
+        MemberQuota, "__init__", lambda self, rule, now, boot_id: original_init(self, rule, now, 0)
+    )
     assert late_grant() > 0.0
 
 
 def test_a_share_used_after_it_lapsed_is_found(monkeypatch):
-    monkeypatch.setattr(Share, "borrowed", lambda self, now: sum(b.amount for b in self._borrowed.values()))
+    monkeypatch.setattr(MemberQuota, "borrowed", lambda self, now: sum(b.amount for b in self._borrowed.values()))
     assert over(RULE, range(6))
 
 
 def test_a_lender_that_begins_anew_without_waiting_is_found(monkeypatch):
-    made = Share.__init__
+    original_init = MemberQuota.__init__
 
-    def careless(self, rule, now, life):
-        made(self, rule, now, life)
-        self.fence = now
+    def careless(self, rule, now, boot_id):
+        original_init(self, rule, now, boot_id)
+        self.hold_until = now
 
     schedule = (Step(9, "demand", (0,), amount=90.0), Step(14, "kill", (3,)), Step(14.1, "start", (3,)))
     assert play(schedule, 1, RULE, 20).over == 0.0
-    monkeypatch.setattr(Share, "__init__", careless)
+    monkeypatch.setattr(MemberQuota, "__init__", careless)
     assert play(schedule, 1, RULE, 20).over > 0.1
 
 
 def test_a_lender_that_takes_its_part_back_too_soon_is_found(monkeypatch):
-    monkeypatch.setattr(Rule, "fence_ns", property(lambda self: self.lease_ns // 2))
+    monkeypatch.setattr(Rule, "hold_ns", property(lambda self: self.lease_ns // 2))
     assert over(RULE, range(6))
 
 
 def test_a_grant_older_than_the_last_lowering_is_found(monkeypatch):
     """Fault: a borrower that takes any Grant. Found by the plain model, in the order that it takes."""
-    granted = Share.granted
+    handle_grant = MemberQuota.handle_grant
 
     def careless(self, now, lender, grant):
-        self._lowered = 0
-        granted(self, now, lender, grant)
+        self._last_reduction = 0
+        handle_grant(self, now, lender, grant)
 
     def play_it() -> float:
         rule = Rule("x", 90.0, 3)
-        a, b, now = Share(rule, 0, 0), Share(rule, 0, 0), 100 * SECOND
+        a, b, now = MemberQuota(rule, 0, 0), MemberQuota(rule, 0, 0), 100 * SECOND
         first = a.tick(now, 60.0)
-        grant = b.want(now, 0, 1, first)
-        lowered = a.tick(now + SECOND, 0.0) or Want(2, 0.0, 0.0)
-        a._lowered = max(a._lowered, 2)
-        b.want(now + SECOND, 0, 1, lowered)
-        a.granted(now + SECOND, 1, grant)
+        grant = b.handle_request(now, 0, 1, first)
+        lowered = a.tick(now + SECOND, 0.0) or LeaseRequest(2, 0.0, 0.0)
+        a._last_reduction = max(a._last_reduction, 2)
+        b.handle_request(now + SECOND, 0, 1, lowered)
+        a.handle_grant(now + SECOND, 1, grant)
         return a.usable(now + SECOND).amount + b.usable(now + SECOND).amount
 
     assert play_it() <= 60.0 + 1e-9
-    monkeypatch.setattr(Share, "granted", careless)
+    monkeypatch.setattr(MemberQuota, "handle_grant", careless)
     assert play_it() > 60.0
-    assert module.DRIFT > 0
+    assert module.MAX_CLOCK_DRIFT > 0
--- a/tests/tier/test_processes.py
+++ b/tests/tier/test_processes.py
@@ -18,7 +18,7 @@
 from covetally.rig.schedule import Link, Schedule, Step
 from covetally.rig.site import LOAD_CLASSES
 from covetally.rig.world import Shape, World
-from covetally.tier.members import Kind, Message
+from covetally.tier.swim import MessageKind, Message
 from covetally.tier.wire import encode
 
 WAIT_S = 100.0
@@ -221,7 +221,7 @@
                 if rng.random() < 0.5:
                     data = struct.pack(">BB", 0x54, rng.randrange(4)) + data[2:]
                 net.inject(4, rng.randrange(4), data)
-            newer = encode(Message(Kind.ASK, 3, 7, 1, 1, 3))
+            newer = encode(Message(MessageKind.PING, 3, 7, 1, 1, 3))
             net.inject(3, 0, newer[:1] + b"\x02" + newer[2:] + b"what a newer version says")
             await asyncio.sleep(0.03)
         await playing
--- a/tests/tier/test_members.py
+++ b/tests/tier/test_swim.py
@@ -7,10 +7,19 @@
 from hypothesis import strategies as st
 
 from covetally.lab.tier import Tier
-from covetally.tier import members as module
-from covetally.tier.facts import AGE_NS, Fact, What, Word
-from covetally.tier.members import SECOND, Kind, Loan, Members, Message, Rumour, State, Timing
-from covetally.tier.wire import MOST_BYTES, Garbage, decode, encode
+from covetally.tier import swim as module
+from covetally.tier.reports import AGE_UNIT_NS, Report, ReportKind, ReportStatus
+from covetally.tier.swim import (
+    SECOND,
+    MessageKind,
+    LeasePayload,
+    Membership,
+    Message,
+    MemberUpdate,
+    State,
+    Timing,
+)
+from covetally.tier.wire import MAX_DATAGRAM_BYTES, MalformedDatagramError, decode, encode
 
 ALIVE, SUSPECTED, GONE, LEFT = State.ALIVE, State.SUSPECTED, State.GONE, State.LEFT
 
@@ -50,8 +59,8 @@
     until_gone(tier, 4)
     tier.start(4)
     assert tier.run(60, lambda: tier.believing(4, ALIVE) == 11) < 60
-    life = tier.members[4].life
-    assert all(view.views()[4].life == life for view in tier.members.values())
+    boot_id = tier.members[4].boot_id
+    assert all(view.views()[4].boot_id == boot_id for view in tier.members.values())
 
 
 def test_seven_in_ten_killed_at_once_and_back_with_nothing():
@@ -110,27 +119,27 @@
     assert tier.wrongly_gone() == 0
 
 
-def accusation(witness: int, member: int, incarnation: int = 1, state: State = SUSPECTED) -> Message:
-    rumour = Rumour(member, state, incarnation, 77, witness)
-    return Message(Kind.TELL, witness, 1000 + witness, 1, 0, witness, (rumour,))
+def accusation(reporter: int, member: int, incarnation: int = 1, state: State = SUSPECTED) -> Message:
+    update = MemberUpdate(member, state, incarnation, 77, reporter)
+    return Message(MessageKind.GOSSIP, reporter, 1000 + reporter, 1, 0, reporter, (update,))
 
 
-def lone(size: int = 8) -> Members:
+def lone(size: int = 8) -> Membership:
     """A member that has heard of all others, and whose calls nobody answers or asks."""
-    view = Members(0, size, 1, 1, 0, Timing(period_ns=10**15))
+    view = Membership(0, size, 1, 1, 0, Timing(ping_interval_ns=10**15))
     for n in range(1, size):
-        view.heard(0, Message(Kind.TELL, n, 1000 + n, 1, 0, n))
+        view.receive(0, Message(MessageKind.GOSSIP, n, 1000 + n, 1, 0, n))
     return view
 
 
 def test_one_accuser_alone_convicts_nobody_and_two_do():
     for accusers, end in (((3,), ALIVE), ((3, 4), GONE)):
         view = lone()
-        for witness in accusers:
-            view.heard(1, accusation(witness, 5))
+        for reporter in accusers:
+            view.receive(1, accusation(reporter, 5))
         assert view.state(5) is SUSPECTED
         end_of_it = 1 + 2 * view.suspicion_ns()
-        view._ticked = end_of_it  # it did not stand still meanwhile
+        view._last_tick = end_of_it  # it did not stand still meanwhile
         view.tick(end_of_it)
         assert view.state(5) is end
 
@@ -149,33 +158,33 @@
     view = lone()
     answers = 0
     for i in range(10_000):
-        ask = Message(Kind.ASK, 2, 1002, 1, i % 60_000, 0)
-        answers += len(view.heard(i * SECOND // 10_000, ask))
+        ask = Message(MessageKind.PING, 2, 1002, 1, i % 60_000, 0)
+        answers += len(view.receive(i * SECOND // 10_000, ask))
     assert answers <= 2 * view.timing.replies_per_s
 
 
 def test_two_processes_with_one_number_are_told_apart():
     tier = settled(6)
-    twin = Members(2, 6, 99, 5, tier.now, tier.timing)
+    twin = Membership(2, 6, 99, 5, tier.now, tier.timing)
     for send in twin.tick(tier.now):
         tier.send(2, encode(send.message))
     tier.run(1)
-    assert tier.members[2].twins == 1
+    assert tier.members[2].duplicate_count == 1
 
 
 def test_what_cannot_be_true_is_counted_and_changes_nothing():
     view = lone()
     before = view.views()
-    for rumour in (
-        Rumour(5, ALIVE, 3, 77, 4),  # another says that it lives
-        Rumour(5, LEFT, 3, 77, 4),
-        Rumour(5, SUSPECTED, 10_000, 77, 4),  # an incarnation out of reach
-        Rumour(50, SUSPECTED, 1, 77, 4),  # nobody of this tier
-        Rumour(5, SUSPECTED, 0, 77, 4),
+    for update in (
+        MemberUpdate(5, ALIVE, 3, 77, 4),  # another says that it lives
+        MemberUpdate(5, LEFT, 3, 77, 4),
+        MemberUpdate(5, SUSPECTED, 10_000, 77, 4),  # an incarnation out of reach
+        MemberUpdate(50, SUSPECTED, 1, 77, 4),  # nobody of this tier
+        MemberUpdate(5, SUSPECTED, 0, 77, 4),
     ):
-        view.heard(2, Message(Kind.TELL, 4, 1004, 1, 0, 4, (rumour,)))
+        view.receive(2, Message(MessageKind.GOSSIP, 4, 1004, 1, 0, 4, (update,)))
     assert view.views() == before
-    assert view.wrong == 5
+    assert view.invalid_count == 5
 
 
 def test_a_list_of_peers_that_shrinks_and_grows_is_ordinary():
@@ -184,7 +193,7 @@
     assert [v.member for v in view.views()] == list(range(5))
     view.resize(2, 9)
     assert view.state(8) is State.UNKNOWN
-    assert view.heard(3, Message(Kind.ASK, 8, 5, 1, 1, 0))
+    assert view.receive(3, Message(MessageKind.PING, 8, 5, 1, 1, 0))
     assert view.state(8) is ALIVE
 
 
@@ -192,9 +201,9 @@
 
 WORDS = st.lists(
     st.builds(
-        Rumour, st.integers(1, 5), st.sampled_from([ALIVE, SUSPECTED, LEFT]), st.integers(1, 6),
+        MemberUpdate, st.integers(1, 5), st.sampled_from([ALIVE, SUSPECTED, LEFT]), st.integers(1, 6),
         st.integers(1, 3), st.integers(1, 5),
-    ).map(lambda r: r if r.state is SUSPECTED else r._replace(witness=r.member)),
+    ).map(lambda r: r if r.state is SUSPECTED else r._replace(reporter=r.member)),
     max_size=12,
 )  # fmt: skip
 
@@ -206,7 +215,9 @@
     heard = words + [w for w in words if order.random() < 0.5]
     order.shuffle(heard)
     for word in heard:
-        view.heard(1, Message(Kind.TELL, word.witness, 1000 + word.witness, 1, 0, word.witness, (word,)))
+        view.receive(
+            1, Message(MessageKind.GOSSIP, word.reporter, 1000 + word.reporter, 1, 0, word.reporter, (word,))
+        )
     said = [(n, 1, ALIVE) for n in range(1, 6)] + [(w.member, w.incarnation, w.state) for w in words]
     for member in range(1, 6):
         greatest = max((incarnation, state) for n, incarnation, state in said if n == member)
@@ -214,50 +225,53 @@
         assert (known.incarnation, known.state) == greatest
 
 
-FACTS = st.builds(
-    Fact, st.sampled_from(What), st.integers(0, 2**32 - 1), st.integers(0, 2**32 - 1), st.sampled_from(Word),
-    st.integers(0, 255), st.integers(0, 255), st.integers(0, 255).map(lambda units: units * AGE_NS),
+REPORTS = st.builds(
+    Report, st.sampled_from(ReportKind), st.integers(0, 2**32 - 1), st.integers(0, 2**32 - 1),
+    st.sampled_from(ReportStatus), st.integers(0, 255), st.integers(0, 255), st.integers(0, 255).map(lambda units: units * AGE_UNIT_NS),
 )  # fmt: skip
-LOANS = st.builds(Loan, st.integers(0, 2**32 - 1), st.integers(0, 2**64 - 1), st.floats(0, 1), st.floats(0, 1e9))
-WORDS = st.builds(
-    Message, st.sampled_from([Kind.WANT, Kind.GRANT]), st.integers(0, 65535), st.integers(0, 2**32 - 1),
-    st.integers(0, 2**32 - 1), st.integers(0, 65535), st.integers(0, 65535), st.just(()),
-    st.lists(FACTS, max_size=10).map(tuple), LOANS,
+LEASES = st.builds(
+    LeasePayload, st.integers(0, 2**32 - 1), st.integers(0, 2**64 - 1), st.floats(0, 1), st.floats(0, 1e9)
+)
+LEASE_MESSAGES = st.builds(
+    Message, st.sampled_from([MessageKind.LEASE_REQUEST, MessageKind.LEASE_GRANT]), st.integers(0, 65535),
+    st.integers(0, 2**32 - 1), st.integers(0, 2**32 - 1), st.integers(0, 65535), st.integers(0, 65535),
+    st.just(()), st.lists(REPORTS, max_size=10).map(tuple), LEASES,
 )  # fmt: skip
-RUMOURS = st.lists(
-    st.builds(Rumour, st.integers(0, 65535), st.sampled_from([ALIVE, SUSPECTED, GONE, LEFT]),
+UPDATES = st.lists(
+    st.builds(MemberUpdate, st.integers(0, 65535), st.sampled_from([ALIVE, SUSPECTED, GONE, LEFT]),
               st.integers(0, 2**32 - 1), st.integers(0, 2**32 - 1), st.integers(0, 65535)),
     max_size=15,
 ).map(tuple)  # fmt: skip
-MESSAGES = WORDS | st.builds(
-    Message, st.sampled_from([Kind.ASK, Kind.ANSWER, Kind.ASK_FOR, Kind.TELL]), st.integers(0, 65535),
-    st.integers(0, 2**32 - 1), st.integers(0, 2**32 - 1), st.integers(0, 65535), st.integers(0, 65535),
-    RUMOURS, st.lists(FACTS, max_size=3).map(tuple), st.none(),
+MESSAGES = LEASE_MESSAGES | st.builds(
+    Message,
+    st.sampled_from([MessageKind.PING, MessageKind.ACK, MessageKind.PING_REQUEST, MessageKind.GOSSIP]),
+    st.integers(0, 65535), st.integers(0, 2**32 - 1), st.integers(0, 2**32 - 1), st.integers(0, 65535),
+    st.integers(0, 65535), UPDATES, st.lists(REPORTS, max_size=3).map(tuple), st.none(),
 )  # fmt: skip
 
 
 @given(MESSAGES)
 def test_the_wire_gives_back_what_it_was_given_and_what_a_newer_version_added_is_passed_over(message):
     data = encode(message)
-    assert len(data) <= MOST_BYTES
+    assert len(data) <= MAX_DATAGRAM_BYTES
     assert decode(data) == message
     newer = data[:1] + b"\x02" + data[2:] + b"more"
-    assert decode(newer[:MOST_BYTES]) == message
+    assert decode(newer[:MAX_DATAGRAM_BYTES]) == message
 
 
 @given(st.binary(max_size=300))
 def test_garbage_is_refused_and_harms_no_member(data):
     try:
         message = decode(data)
-    except Garbage:
+    except MalformedDatagramError:
         return
-    lone().heard(1, message)
+    lone().receive(1, message)
 
 
 @given(MESSAGES, st.integers(0, 17))
 def test_a_datagram_cut_short_is_refused(message, kept):
     assert len(encode(message)) > 18
-    with pytest.raises(Garbage):
+    with pytest.raises(MalformedDatagramError):
         decode(encode(message)[:kept])
 
 
@@ -265,27 +279,27 @@
 def test_whatever_peers_say_a_member_believes_that_it_is_there_itself(messages):
     view = lone()
     for message in messages:
-        view.heard(1, message)
+        view.receive(1, message)
         assert view.state(0) is ALIVE
-        assert view.views()[0].life == 1
+        assert view.views()[0].boot_id == 1
 
 
 # --- planted faults: what the tests above would not let pass -------------------------------------
 
 
 def test_a_liar_whose_weight_is_unbounded_is_found(monkeypatch):
-    monkeypatch.setattr(module, "WITNESSES", 1)
+    monkeypatch.setattr(module, "MIN_REPORTERS", 1)
     with pytest.raises(AssertionError):
         test_one_accuser_alone_convicts_nobody_and_two_do()
 
 
 def test_an_accusation_that_never_ages_is_found(monkeypatch):
-    monkeypatch.setattr(Members, "_set_back", lambda *_: None)
+    monkeypatch.setattr(Membership, "_clear_suspicion", lambda *_: None)
     with pytest.raises(AssertionError):
         test_one_accuser_alone_convicts_nobody_and_two_do()
 
 
 def test_a_member_that_never_contradicts_is_found(monkeypatch):
-    monkeypatch.setattr(Members, "_contradict", lambda *_: None)
+    monkeypatch.setattr(Membership, "_refute", lambda *_: None)
     with pytest.raises(AssertionError):
         test_a_stopped_process_that_goes_on_accuses_nobody_and_is_there_again()
