--- a/covetally/tier/__init__.py
+++ b/covetally/tier/__init__.py
@@ -1,1 +1,4 @@
-"""What the sidecars of a tier know and hold together. Nothing of it runs yet: see docs/design/tier.md."""
+"""Coordination between the sidecars of a tier: membership, outlier detection and shared limits.
+
+See docs/design/tier.md.
+"""
--- a/covetally/tier/limits.py
+++ b/covetally/tier/limits.py
@@ -1,31 +1,35 @@
-"""A limit that a whole tier holds together: one member's part of it. No I/O; times are ns on its own clock.
-
-Each of the n members has a part of its own, amount / n, and lends of it what it does not need, for a time.
-Escrow: whatever part of the limit there is has one user at any moment, so the parts in use add up to the amount
-at most, whatever the network loses, delays, repeats, reorders, and wherever it is cut.
-
-    a part                     who may use it
-    ------                     --------------
-    own                        its member, less what it has lent
-    lent, till `end`           nobody here: `end` is lease (1 + DRIFT) + linger after the loan was last granted
-    borrowed, till `lapse`     the borrower: `lapse` is one lease after it SENT what was granted
-    own, after a start         KEEP of it for lease (1 + DRIFT) + linger: what a life before lent may still be
-                               out, and no member ever lends more than the rest
-
-A request is sent before it is granted, so every loan lapses before its lender begins again, with clocks that
-agree on nothing but on how long a second is, to DRIFT. A member that was stopped finds by its own clock that a
-loan has lapsed when it next looks, which is before it uses it. `linger` is for limits on calls in flight: the
-longest that a call begun on a loan may last after it.
-
-    message                        its meaning
-    -------                        -----------
-    Want(seq, keep, each)          the borrower has lowered what it borrowed to `keep` of it, asks for its
-                                   renewal, and for `each` more from whoever has it
-    Grant(seq, amount)             so much is lent in all, from when the Want with this number was sent
-
-A borrower lowers first and tells then, and takes no Grant that is older than its last lowering, or for a life
-before. A lender takes no
-Want that is older than the last one it took from that life of that borrower.
+"""One member's part of a limit that all members of a tier share. No I/O; times are ns on the member's own clock.
+
+Each of the n members has a quota, amount / n, and lends what it does not need of it for a time. As in escrow,
+each part of the limit has one user at any moment. So the parts in use never add up to more than the amount,
+whatever messages the network loses, delays, repeats or reorders, and however it is partitioned.
+
+    a part                      who may use it
+    ------                      --------------
+    quota                       its member, less what it has lent
+    lent, until its expiry      not the lender: for it, a loan expires lease x (1 + MAX_CLOCK_DRIFT) + linger
+                                after it was last granted
+    borrowed, until its expiry  the borrower: for it, a loan expires one lease after it SENT the request that was
+                                granted
+    quota, after a start        its member, but only RESERVED_FRACTION of it, for lease x (1 + MAX_CLOCK_DRIFT)
+                                + linger: an earlier process may have lent all the rest
+
+A request is sent before it is granted, so each loan expires at the borrower before the lender uses that part
+again. The clocks need to agree only on the length of a second, to within MAX_CLOCK_DRIFT. A process that was
+stopped checks its own clock before it uses a loan, and so notices that the loan has expired. `linger` is for
+limits on calls in flight: the longest time that a call started on a loan may last after the loan.
+
+    message                                             meaning
+    -------                                             -------
+    LeaseRequest(sequence, keep_fraction, additional)   the borrower has reduced each of its loans to
+                                                        `keep_fraction` of it, asks for their renewal, and asks
+                                                        each member that can spare it for `additional` more
+    Grant(sequence, amount)                             `amount` is lent in total, counted from when the request
+                                                        with this number was sent
+
+A borrower first reduces its loans and then announces it. It accepts no Grant for a request from before its last
+reduction, or for an earlier process. A lender accepts no LeaseRequest that is older than the last one that it
+accepted from the same process of that borrower.
 """
 
 from __future__ import annotations
@@ -34,18 +38,21 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-MAX_CLOCK_DRIFT = 0.01  # by so much at most a clock runs faster or slower than another
-RESERVED_FRACTION = 0.25  # of its own part, which a member never lends
-HEADROOM = 1.25  # times its demand that a member wants to have
-FIRST_RETRY_DELAY_NS = 250_000_000  # after a Want that brought nothing, then doubled, to half a lease
-RETURN_THRESHOLD = 0.9  # a borrower gives back when it needs less than this share of what it borrowed
-MIN_LOAN_FRACTION = 1e-3  # of its own part: loans smaller than this are not worth a datagram
+MAX_CLOCK_DRIFT = 0.01  # the rates of two clocks differ by at most this fraction
+RESERVED_FRACTION = 0.25  # of its quota, which a member never lends
+HEADROOM = 1.25  # a member wants this many times its demand
+FIRST_RETRY_DELAY_NS = 250_000_000  # after a request without effect; then doubled, up to half a lease
+RETURN_THRESHOLD = 0.9  # a borrower returns the surplus when it needs less than this fraction of its loans
+MIN_LOAN_FRACTION = 1e-3  # of the quota; smaller loans are not worth a datagram
 
 
 @dataclass(frozen=True, slots=True)
 class Rule:
-    """A limit as configured. `amount` is in calls a second, or in calls in flight; `burst_s` is how long a rate
-    may be saved up."""
+    """A limit as configured.
+
+    `amount` is in calls per second, or in calls in flight. `burst_s` is the time for which an unused rate
+    accumulates.
+    """
 
     name: str
     amount: float
@@ -57,17 +64,17 @@
 
     @property
     def quota(self) -> float:
-        """Each member's part."""
+        """The quota of each member."""
         return self.amount / self.members
 
     @property
     def hold_ns(self) -> int:
-        """How long a lender leaves alone what it lent, after it last granted it."""
+        """How long a lender does not use what it lent, after it last granted the loan."""
         return math.ceil(self.lease_ns * (1.0 + MAX_CLOCK_DRIFT)) + self.linger_ns
 
 
 class LeaseRequest(NamedTuple):
-    """A borrower's word to all; see the table."""
+    """A borrower's message to all members; see the module docstring."""
 
     sequence: int
     keep_fraction: float
@@ -75,7 +82,7 @@
 
 
 class Grant(NamedTuple):
-    """A lender's answer; see the table."""
+    """A lender's answer; see the module docstring."""
 
     sequence: int
     amount: float
@@ -96,7 +103,7 @@
 
 
 class UsableQuota(NamedTuple):
-    """What this member may use: `amount` until `until_ns`, and `then` after that, if it hears nothing else."""
+    """What this member may use: `amount` until `until_ns`, and `fallback` from then on without a renewal."""
 
     amount: float
     until_ns: int
@@ -104,37 +111,40 @@
 
 
 class MemberQuota:
-    """One member's part of one limit. `life` is its member's: the numbers of its Wants begin with it, so that a
-    Grant which was on its way to the life before is none of this one's."""
+    """One member's part of one limit.
+
+    The sequence numbers of its requests start from its boot ID, so that it does not accept a Grant that was meant
+    for an earlier process of this member.
+    """
 
     def __init__(self, rule: Rule, now: int, boot_id: int) -> None:
         self.rule = rule
         self.hold_until = now + rule.hold_ns
-        self.demand = 0.0  # what it could use, of late
-        self.loan_count = self.request_count = 0  # counters
-        self._lent: dict[tuple[int, int], _GrantedLoan] = {}  # by borrower and its life
+        self.demand = 0.0  # what this member could use, as of the last `tick`
+        self.loan_count = self.request_count = 0  # counters of grants with new amounts, and of requests
+        self._lent: dict[tuple[int, int], _GrantedLoan] = {}  # by borrower and its boot ID
         self._borrowed: dict[int, _BorrowedLoan] = {}  # by lender
-        self._seq = boot_id << 32
-        self._sent: dict[int, int] = {}  # when each Want was sent that may still be answered
-        self._last_reduction = 0  # the last Want that lowered what is borrowed
-        self._unfilled = 0  # Wants in a row that were not filled
-        self._retry_delay_ns = self._next_request_at = 0  # who gets nothing asks more and more seldom
-        self._previous_borrowed = self._previous_shortfall = 0.0  # at the last Want
+        self._sequence = boot_id << 32
+        self._sent: dict[int, int] = {}  # when each request that may still be answered was sent
+        self._last_reduction = 0  # the last request that reduced the loans
+        self._unfilled = 0  # consecutive requests that were not filled
+        self._retry_delay_ns = self._next_request_at = 0  # backoff of requests that bring nothing
+        self._previous_borrowed = self._previous_shortfall = 0.0  # at the last request
 
-    # --- what may be used -----------------------------------------------------------------------
+    # --- amounts --------------------------------------------------------------------------------
 
     def retained(self, now: int) -> float:
-        """Of its own part, what it has not lent; little after a start."""
+        """The quota less what is lent; only the reserved fraction for some time after a start."""
         if now < self.hold_until:
             return RESERVED_FRACTION * self.rule.quota
         return self.rule.quota - sum(lent.amount for lent in self._lent.values() if now < lent.expires_at)
 
     def borrowed(self, now: int) -> float:
-        """What it may use of others' parts."""
+        """What this member may use of the quotas of others."""
         return sum(b.amount for b in self._borrowed.values() if now < b.expires_at)
 
     def usable(self, now: int) -> UsableQuota:
-        """What it may use from now on."""
+        """What this member may use from now on."""
         retained = self.retained(now)
         expirations = [b.expires_at for b in self._borrowed.values() if now < b.expires_at]
         return UsableQuota(
@@ -142,25 +152,30 @@
         )
 
     def lent(self, now: int) -> float:
-        """What others may be using of its part."""
+        """What others may be using of the quota."""
         return sum(lent.amount for lent in self._lent.values() if now < lent.expires_at)
 
     # --- events ---------------------------------------------------------------------------------
 
     def update_rule(self, now: int, rule: Rule) -> None:
-        """The limit has another amount, or the tier another size. Loans run on. Where it lends on other terms, it
-        begins as after a start."""
+        """Adopt another amount, lease or number of members.
+
+        Loans continue. If the hold time changes, this member acts as after a start.
+        """
         if rule.hold_ns != self.rule.hold_ns:
             self.hold_until = now + max(rule.hold_ns, self.rule.hold_ns)
         if rule.quota < self.rule.quota:
             scale = rule.quota / self.rule.quota
             for borrowed in self._borrowed.values():
-                borrowed.amount *= scale  # its lenders take the same turn
-            self._last_reduction = self._seq + 1
+                borrowed.amount *= scale  # the lenders' quotas shrink in proportion
+            self._last_reduction = self._sequence + 1
         self.rule = rule
 
     def tick(self, now: int, demand: float) -> LeaseRequest | None:
-        """Time has passed; `demand` is what this member could use. What to ask of all, if anything."""
+        """Expire loans; return the request to send to all members, if any.
+
+        `demand` is what this member could use.
+        """
         self.demand = max(0.0, demand)
         rule = self.rule
         for key in [key for key, lent in self._lent.items() if now >= lent.expires_at]:
@@ -192,23 +207,23 @@
             shortfall,
             now + self._retry_delay_ns,
         )
-        self._seq += 1
-        self._sent[self._seq] = now
+        self._sequence += 1
+        self._sent[self._sequence] = now
         if reduce:
             for b in self._borrowed.values():
                 b.amount *= keep_fraction
             if keep_fraction == 0.0:
                 self._borrowed.clear()
-            self._last_reduction = self._seq
+            self._last_reduction = self._sequence
         else:
             keep_fraction = 1.0
         additional = min(shortfall, shortfall * 2.0**self._unfilled / max(1, rule.members - 1))
         self._unfilled = min(self._unfilled + 1, 32) if shortfall else 0
         self.request_count += 1
-        return LeaseRequest(self._seq, keep_fraction, additional)
+        return LeaseRequest(self._sequence, keep_fraction, additional)
 
     def handle_request(self, now: int, borrower: int, boot_id: int, request: LeaseRequest) -> Grant | None:
-        """Another member asks. What it is granted, if anything."""
+        """Handle a request of another member; return the grant to send, if any."""
         rule = self.rule
         if (
             not (0.0 <= request.keep_fraction <= 1.0 and 0.0 <= request.additional < math.inf)
@@ -224,12 +239,12 @@
         lent_to_others = self.lent(now) - (lent.amount if lent is not None else 0.0)
         if lent is not None:
             lent.amount, lent.sequence = amount, request.sequence
-        # What it may lend to this one: what it does not need itself, and never the part it keeps.
+        # Lend only what this member does not need itself, and never the reserved fraction.
         lendable = (
             min((1.0 - RESERVED_FRACTION) * rule.quota, rule.quota - self.demand * HEADROOM) - lent_to_others
         )
         if amount > lendable and amount > 0.0:
-            return None  # it needs its own: the loan runs out
+            return None  # this member needs its quota: let the loan expire
         extra = min(request.additional, lendable - amount)
         if extra > MIN_LOAN_FRACTION * rule.quota:
             amount += extra
@@ -240,13 +255,13 @@
         return Grant(request.sequence, amount)
 
     def handle_grant(self, now: int, lender: int, grant: Grant) -> None:
-        """A member has answered a Want of this life's."""
+        """Handle a grant from another member."""
         sent = self._sent.get(grant.sequence)
         known = self._borrowed.get(lender)
         if sent is None or now - sent >= self.rule.lease_ns or grant.sequence < self._last_reduction:
             return
         if not 0.0 < grant.amount <= (1.0 - RESERVED_FRACTION) * self.rule.quota * 1.000001:
-            return  # nobody lends more: of a liar no more is believed than it could have lent
+            return  # no member may lend more; ignore a false grant
         if known is not None and (grant.sequence <= known.sequence or grant.amount < known.amount * 0.999999):
             return
         self._borrowed[lender] = _BorrowedLoan(grant.amount, grant.sequence, sent + self.rule.lease_ns)
--- a/covetally/tier/member.py
+++ b/covetally/tier/member.py
@@ -1,9 +1,10 @@
-"""One member of a tier put together: who is there, facts, verdicts, limits. No I/O: datagrams and time in,
-datagrams out. The shell sends what it returns and asks `tick` again at `due`.
+"""One member of a tier: membership, reports, outlier detection and limits. No I/O.
 
-However many ask, a member sends at most `Timing.replies_per_s` answers a second, and all members together send at
-most `NEWS_PER_S` words to all a second, with a burst of NEWS_BURST each; of each sender a member reads at most
-`HEARD_PER_S` datagrams a second.
+Datagrams and the time go in, and datagrams come out. The transport sends those, and calls `tick` again at `due`.
+
+The load that a member causes is bounded, whatever it receives. It sends at most `Timing.replies_per_s` replies
+a second. All members together send at most `GOSSIP_PER_S` broadcasts a second, with bursts of up to
+`GOSSIP_BURST` from each. A member reads at most `MAX_RECEIVED_PER_S` datagrams a second from one sender.
 """
 
 from __future__ import annotations
@@ -17,21 +18,21 @@
 from covetally.interface import AttemptStatus
 from covetally.tier.token_bucket import TokenBucket
 from covetally.tier.reports import ReportStore
-from covetally.tier.limits import Grant, Rule, MemberQuota, UsableQuota, LeaseRequest
-from covetally.tier.swim import SECOND, MessageKind, LeasePayload, Membership, Message, Outgoing, Timing
+from covetally.tier.limits import Grant, LeaseRequest, MemberQuota, Rule, UsableQuota
+from covetally.tier.swim import SECOND, LeasePayload, Membership, Message, MessageKind, Outgoing, Timing
 from covetally.tier.outlier_detection import Ejections, OutlierDetector
 from covetally.tier.wire import MalformedDatagramError, decode, encode
 
 ALL_PEERS = -1
-GOSSIP_PER_S = 20.0  # words to all, by the whole tier
-GOSSIP_BURST = 3.0  # words that a member that was silent may send at once
-MAX_RECEIVED_PER_S = 200.0  # datagrams read of one sender
-LEASE_CHECK_INTERVAL_NS = SECOND // 4  # how often limits are looked at
-EXPIRY_INTERVAL_NS = 5 * SECOND
+GOSSIP_PER_S = 20.0  # broadcasts by all members together
+GOSSIP_BURST = 3.0  # broadcasts that a member may send at once after a pause
+MAX_RECEIVED_PER_S = 200.0  # datagrams read from one sender
+LEASE_CHECK_INTERVAL_NS = SECOND // 4  # how often limits are checked
+EXPIRY_INTERVAL_NS = 5 * SECOND  # how often expired reports are dropped
 
 
 class Datagram(NamedTuple):
-    """Bytes for a peer, or with -1 for all."""
+    """Bytes to send to a peer; ALL_PEERS means all peers."""
 
     peer: int
     data: bytes
@@ -39,8 +40,11 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberConfig:
-    """What a member is told of its tier at its start. `zones` by their numbers in the settings; `rules` of the
-    limits held."""
+    """Configuration of a member at its start.
+
+    `zones` has the names of the zones in the order of the settings, and `zone` is the index of the member's own.
+    `rules` are those of the shared limits.
+    """
 
     zones: tuple[str, ...] = ()
     zone: int = 0
@@ -50,7 +54,7 @@
 
 
 class TierMember:
-    """One member. Its numbers, and `Members`, are as there."""
+    """One member of a tier, with its membership view, reports, outlier detector and quotas."""
 
     def __init__(self, index: int, size: int, boot_id: int, seed: int, now: int, config: MemberConfig) -> None:
         self.index, self.config = index, config
@@ -73,7 +77,7 @@
     # --- events ---------------------------------------------------------------------------------
 
     def tick(self, now: int, demand: dict[str, float] | None = None) -> list[Datagram]:
-        """Time has passed. `demand` is what could be used of each limit, by name."""
+        """Do what is due; return the datagrams to send. `demand` is what could be used of each limit, by name."""
         if self._has_left:
             return []
         datagrams = self._encode_all(now, self.membership.tick(now))
@@ -94,7 +98,7 @@
         return datagrams + self._evaluate(now)
 
     def receive(self, now: int, sender: int, data: bytes) -> list[Datagram]:
-        """A datagram has come from this member's address."""
+        """Handle a datagram from the address of member `sender`; return the datagrams to send."""
         if self._has_left:
             return []
         bucket = self._receive_buckets.get(sender)
@@ -124,7 +128,7 @@
         return datagrams
 
     def record_attempt(self, now: int, server: str, status: AttemptStatus, cls: int, sent: int) -> None:
-        """One of this member's own calls, sent then, has ended so."""
+        """Record how one of this sidecar's own attempts ended, and when it was sent."""
         if self._has_left or not self.config.outlier_detection:
             return
         self.outlier_detector.record_attempt(now, server, status, cls, sent)
@@ -133,43 +137,43 @@
             self.due = max(now, due)
 
     def update_servers(self, servers: dict[str, int]) -> None:
-        """The list of nodes, with the zone of each."""
+        """Adopt the server list: the zone of each server, by name."""
         self.outlier_detector.update_servers(servers)
 
     def resize(self, now: int, size: int, rules: Iterable[Rule]) -> None:
-        """The list of peers, or the limits, have changed."""
+        """Adopt another length of the list of peers, or other limits."""
         if size != self.membership.size:
             self.membership.resize(now, size)
             self._gossip_bucket.rate_per_s = GOSSIP_PER_S / size
             for number in [n for n in self._receive_buckets if n >= size]:
                 del self._receive_buckets[number]
                 self.reports.forget(number)
-        wanted = {crc32(rule.name.encode()): rule for rule in rules}
-        self.quotas = {limit_id: quota for limit_id, quota in self.quotas.items() if limit_id in wanted}
-        for limit_id, rule in wanted.items():
+        rules_by_id = {crc32(rule.name.encode()): rule for rule in rules}
+        self.quotas = {limit_id: quota for limit_id, quota in self.quotas.items() if limit_id in rules_by_id}
+        for limit_id, rule in rules_by_id.items():
             if limit_id not in self.quotas:
                 self.quotas[limit_id] = MemberQuota(rule, now, self.membership.boot_id)
             elif self.quotas[limit_id].rule != rule:
                 self.quotas[limit_id].update_rule(now, rule)
 
     def leave(self, now: int) -> list[Datagram]:
-        """This member ends. It lends nothing any more, and uses nothing."""
+        """Announce that this member leaves. It handles no events after that."""
         datagrams = self._encode_all(now, self.membership.leave(now))
         self._has_left = True
         return datagrams
 
-    # --- what comes of it -----------------------------------------------------------------------
+    # --- results --------------------------------------------------------------------------------
 
     def ejections(self) -> Ejections:
-        """What is told to the balancer of nodes and zones."""
+        """The servers and zones for the balancer to avoid."""
         return self.outlier_detector.ejections()
 
     def usable(self, now: int) -> dict[str, UsableQuota]:
-        """What may be used of each limit, by name."""
+        """What this member may use of each limit, by name."""
         return {quota.rule.name: quota.usable(now) for quota in self.quotas.values()}
 
     def table(self, now: int) -> dict[str, Any]:
-        """All of it, for operators."""
+        """The state of this member, as shown to operators."""
         return {
             "member": self.index,
             "life": f"{self.membership.boot_id:08x}",
@@ -211,10 +215,10 @@
             "young": now < quota.hold_until,
         }  # fmt: skip
 
-    # --- parts ----------------------------------------------------------------------------------
+    # --- internals ------------------------------------------------------------------------------
 
     def _evaluate(self, now: int) -> list[Datagram]:
-        """Look at the verdicts anew; news goes to all, as often as this member may speak."""
+        """Run the outlier detector, and broadcast new reports within the rate limit. Sets `due`."""
         datagrams = []
         if self.config.outlier_detection and (self.outlier_detector.tick(now) or self._gossip_pending):
             self._gossip_pending = not self._gossip_bucket.take(now)
@@ -252,7 +256,7 @@
         )
         return [Datagram(message.sender, encode(reply._replace(target=message.sender)))]
 
-    def _encode_all(self, now: int, sends: list[Outgoing]) -> list[Datagram]:
-        """With what this member has to say of nodes on every datagram that goes out anyhow."""
-        reports = self.reports.digest(now) if sends and self.config.outlier_detection else ()
-        return [Datagram(peer, encode(message._replace(reports=reports))) for peer, message in sends]
+    def _encode_all(self, now: int, outgoing: list[Outgoing]) -> list[Datagram]:
+        """Encode messages, each with a digest of this member's reports."""
+        reports = self.reports.digest(now) if outgoing and self.config.outlier_detection else ()
+        return [Datagram(peer, encode(message._replace(reports=reports))) for peer, message in outgoing]
--- a/covetally/tier/outlier_detection.py
+++ b/covetally/tier/outlier_detection.py
@@ -1,26 +1,32 @@
-"""What a tier makes of its nodes and zones from what each member's own calls show. No I/O; times are ns.
-
-    node      how it comes into the state                        what is told to the balancer
-    ----      ---------------------------                        ----------------------------
-    well      at the start; WELL words outweigh                  nothing
-    accused   a member's calls fail                              nothing
-    avoided   WITNESSES accuse it, more than its WELL words do   others first; a trial only to whom the turn is
-              outweigh
-
-    A verdict is a reason to try elsewhere first, never a conviction: a balancer with nowhere else to go calls an
-    avoided node. At most SHARE of the nodes are avoided, those with most witnesses.
-
-Each WELL word weighs as much as WELL_WEIGHS accusations. It is said by a member that called the node after it
-heard of the accusation, so an old success contradicts nothing, and a node that is well is cleared by the calls
-it gets anyhow. Members of one zone may be cut from a node that is well for all others: accusers of this member's
-own zone count against the WELL words of that zone; accusers of all zones count together only if they are of two
-zones or more. An accusation for one class of calls is a verdict for that class alone.
-
-Trials: once a verdict stands, one member calls the node, then the next if that fails, after a pause that doubles.
-Whose turn it is follows from the node, who tried last and who is there (rendezvous hashing): no leader.
-A member whose turn it is says so; the next in order begins `HOLD_NS` later if nothing was heard of it, so a turn
-passes on when its owner is gone. Nobody's TRIES counts twice in a row, so that no one member can hold all others
-off. A verdict is kept by one accuser, who has the trials' failures, and ends when nobody says anything any more.
+"""Outlier detection across a tier: combines what each member's own calls show of servers and zones.
+
+No I/O; times are ns.
+
+    server    entered by                                            effect on the balancer
+    ------    ----------                                            ----------------------
+    healthy   start; healthy reports that outweigh the failures;    none
+              all failure reports have expired
+    reported  failed calls of at least one member                   none
+    ejected   failure reports of MIN_REPORTERS members, more than   prefers other servers; only the member whose
+              its healthy reports outweigh                          turn it is makes a probe
+
+An ejection is a reason to try other servers first, and no more: a balancer without another server still calls an
+ejected one. At most MAX_EJECTED_FRACTION of the servers are ejected, those with the most failure reports.
+
+Each healthy report outweighs HEALTHY_REPORT_WEIGHT failure reports. A member makes one if it called the server
+after it learned of the failure reports, so an old success contradicts nothing, and a healthy server is cleared by
+its regular calls. The members of one zone may be cut off from a server that works for all others. So the failure
+reports of a member's own zone are weighed against the healthy reports of that zone; those of all zones count
+together only if they come from at least two zones. A failure report on one class of calls counts for that class
+only.
+
+Probes: after an ejection, one member calls the server; if that fails, the next one does, after a delay that
+doubles. The turn follows from the server, the last member that probed it, and the present members, by rendezvous
+hashing, so no leader is needed. The member whose turn it is announces its probe. The next in order begins
+`PROBE_SLOT_NS` later if it received no announcement, so the turn passes on if a member is gone. The same member's
+announcement does not count twice in a row, so that no single member can keep all others from probing. A server
+stays ejected while one member reports failures, such as those of the probes. It returns to service when healthy
+reports outweigh the failure reports, or when the last of those has expired.
 """
 
 from __future__ import annotations
@@ -31,35 +37,36 @@
 from zlib import crc32
 
 from covetally.interface import AttemptStatus
-from covetally.tier.reports import REPORT_LIFETIME_NS, ReportStore, StoredReport, ReportKind, ReportStatus
+from covetally.tier.reports import REPORT_LIFETIME_NS, ReportKind, ReportStatus, ReportStore, StoredReport
 
 MS = 1_000_000
-MIN_REPORTERS = 3  # members whose accusations make a verdict
-HEALTHY_REPORT_WEIGHT = 8  # accusations that one WELL word outweighs
-MAX_EJECTED_FRACTION = 0.25  # of the nodes, which may be avoided at a time
-MAX_AVOIDED_ZONE_FRACTION = 0.5  # of the nodes, which may stand in zones that are avoided
-FAILURES_TO_REPORT = 2  # own failures in a row that are an accusation; one, where no connection comes up
-FAILURE_WINDOW_NS = 2_000 * MS  # own failures further apart than this are not in a row
-REPORT_JITTER_NS = (
-    40 * MS
-)  # words of the same are said at times this far apart at most, so that the first ones do
-PROBE_SLOT_NS = 400 * MS  # a trial's turn
-FIRST_PROBE_DELAY_NS = 1_000 * MS  # before the first trial, then doubled
-EVALUATION_INTERVAL_NS = 1_000 * MS  # how often all verdicts are judged anew: words age
-MAX_PROBE_DELAY_NS = 4_000 * MS  # so that a verdict outlives it: see LASTS_NS
-ALL_CLASSES = -1  # in a verdict: every class
+MIN_REPORTERS = 3  # members whose failure reports eject a server
+HEALTHY_REPORT_WEIGHT = 8  # failure reports that one healthy report outweighs
+MAX_EJECTED_FRACTION = 0.25  # of the servers that may be ejected at a time
+MAX_AVOIDED_ZONE_FRACTION = 0.5  # of the servers that may be in avoided zones
+FAILURES_TO_REPORT = 2  # consecutive failures before a report; a failed connect is reported at once
+FAILURE_WINDOW_NS = 2_000 * MS  # failures further apart than this are not consecutive
+REPORT_JITTER_NS = 40 * MS  # longest random delay of a report, so that the first few make the rest redundant
+PROBE_SLOT_NS = 400 * MS  # time that one member has for its probe
+FIRST_PROBE_DELAY_NS = 1_000 * MS  # before the first probe; then doubled
+EVALUATION_INTERVAL_NS = 1_000 * MS  # how often all servers are evaluated again, since reports expire
+MAX_PROBE_DELAY_NS = 4_000 * MS  # below REPORT_LIFETIME_NS, so that the ejection outlasts the delay
+ALL_CLASSES = -1  # the class of an ejection that holds for all classes
 
 
 class EjectedServer(NamedTuple):
-    """What is told to the balancer of one node: avoid it for this class, or all of them."""
+    """A server to avoid for one class, or for ALL_CLASSES."""
 
     server: str
     cls: int
 
 
 class Ejections(NamedTuple):
-    """All verdicts in force. `turns` are the nodes whose trial is this member's; `back` those whose process is
-    new, and since how many ns."""
+    """The servers and zones to avoid.
+
+    `probes` are the ejected servers that it is this member's turn to probe. `restarted` are the servers with a
+    new process, each with the ns since then.
+    """
 
     servers: tuple[EjectedServer, ...] = ()
     zones: tuple[int, ...] = ()
@@ -68,7 +75,7 @@
 
 
 class EjectionStatus(NamedTuple):
-    """What operators see of one subject."""
+    """The reports on one server or zone and its ejection, as shown to operators."""
 
     subject: str
     cls: int
@@ -82,7 +89,7 @@
 
 @dataclass(slots=True)
 class _OwnFailures:
-    """This member's own calls to one subject of late."""
+    """This member's recent consecutive failures with one server and class."""
 
     count: int = 0
     process_ended: bool = False
@@ -91,19 +98,19 @@
 
 @dataclass(slots=True)
 class _Ejection:
-    """A node that is avoided."""
+    """The state of one ejection."""
 
-    probed_at: int  # when the last trial began, or the verdict
+    probed_at: int  # when the last probe, or else the ejection, began
     probe_delay_ns: int = FIRST_PROBE_DELAY_NS
-    probe_number: int = 0
+    probes_begun: int = 0
     probed_by: int = -1
     probing: bool = False
-    next_probe_at: int = 0  # when this member would make the next trial
+    next_probe_at: int = 0  # when this member would make the next probe
 
 
 @dataclass(slots=True)
 class _PendingReport:
-    """A word to be said soon."""
+    """A report to publish after its random delay."""
 
     at: int
     status: ReportStatus
@@ -114,14 +121,17 @@
 
 @dataclass(slots=True)
 class _ServerNames:
-    """The list of nodes, and their names by mark."""
+    """The server list: names by the CRC-32 of the name, and zones by name."""
 
     names: dict[int, str] = field(default_factory=dict)
     zones: dict[str, int] = field(default_factory=dict)
 
 
 class OutlierDetector:
-    """One member's verdicts. `random` gives numbers from 0 to 1; `serving` the members that are there."""
+    """One member's outlier detection.
+
+    `random` returns numbers from 0 to 1, and `present_members` the members that are not gone.
+    """
 
     def __init__(
         self,
@@ -135,18 +145,16 @@
         self._zone_hashes = {i: name_hash for name_hash, i in self._zone_by_hash.items()}
         self._random, self._present_members = random, present_members
         self._servers = _ServerNames()
-        self._own_failures: dict[tuple[str, int], _OwnFailures] = {}  # by node and class
-        self._silent_servers: dict[
-            int, dict[str, int]
-        ] = {}  # by zone: nodes that did not answer since one there did
-        self._last_answered: dict[int, int] = {}  # by zone: when a call was last sent that was answered
-        self._ejections: dict[tuple[int, int], _Ejection] = {}  # by mark and class
+        self._own_failures: dict[tuple[str, int], _OwnFailures] = {}  # by server and class
+        # By zone: the servers that have not answered since one there did, with when the call was sent.
+        self._silent_servers: dict[int, dict[str, int]] = {}
+        self._last_answered: dict[int, int] = {}  # by zone: when the latest call that was answered was sent
+        self._ejections: dict[tuple[int, int], _Ejection] = {}  # by name hash and class
         self._pending: dict[Subject, _PendingReport] = {}
         self._restarted_at: dict[str, int] = {}
-        self._process_ended_at: dict[
-            int, int
-        ] = {}  # by mark: when a verdict last said that its process is not there
-        self._changed: set[int] = set()  # marks of nodes of which something new was said
+        # By name hash: when an ejection last found that the server's process had ended.
+        self._process_ended_at: dict[int, int] = {}
+        self._changed: set[int] = set()  # name hashes of servers with new reports
         self._next_evaluation = 0
         self._current = Ejections()
         self.probe_count = self.ejection_count = 0  # counters
@@ -154,7 +162,7 @@
     # --- events ---------------------------------------------------------------------------------
 
     def update_servers(self, servers: dict[str, int]) -> None:
-        """The list of nodes, with the zone of each."""
+        """Adopt the server list: the zone of each server, by name."""
         self._servers = _ServerNames({crc32(name.encode()): name for name in servers}, dict(servers))
         self._own_failures = {key: failures for key, failures in self._own_failures.items() if key[0] in servers}
         self._ejections = {
@@ -169,14 +177,14 @@
         }
 
     def record_attempt(self, now: int, server: str, status: AttemptStatus, cls: int, sent: int) -> None:
-        """How one of this member's own calls ended that was sent then."""
+        """Record how one of this sidecar's own attempts ended, and when it was sent."""
         zone = self._servers.zones.get(server)
         if zone is None or status in (AttemptStatus.CANCELLED, AttemptStatus.NOT_SENT):
             return
         name_hash = crc32(server.encode())
         for (ejected_hash, _), ejection in self._ejections.items():
             if ejected_hash == name_hash and sent >= ejection.probed_at:
-                ejection.probing = False  # one call each
+                ejection.probing = False  # one call per probe
                 self._changed.add(name_hash)
         if status in (AttemptStatus.OK, AttemptStatus.FULL, AttemptStatus.ERROR, AttemptStatus.UNUSABLE_RESPONSE):
             self._record_answered(now, server, name_hash, zone, cls, sent, status)
@@ -185,8 +193,8 @@
         if status in (AttemptStatus.TIMEOUT, AttemptStatus.CONNECT_FAILED):
             self._record_unanswered(now, server, zone, sent)
         if status in (AttemptStatus.TIMEOUT, AttemptStatus.RESET):
-            # A queue shows as the first, a link as the second, and what all are told to leave alone is capacity
-            # that all need: measured, see docs/design/tier.md.
+            # A timeout may only show a full queue, and a reset a bad link. To eject a server for those would take
+            # capacity that all need, as measured; see docs/design/tier.md.
             return
         if status is AttemptStatus.CONNECT_FAILED:
             self._record_failure(now, server, name_hash, ALL_CLASSES, True)
@@ -206,7 +214,7 @@
                 self._record_restart(now, server, name_hash)
 
     def _record_restart(self, now: int, server: str, name_hash: int) -> None:
-        """Its process was not there for this member and is now: it is a new one."""
+        """Report that a server whose process had ended answers again, so it is a new process."""
         self._restarted_at[server] = now
         self.reports.publish(now, ReportKind.RESTARTED, name_hash, ReportStatus.HEALTHY)
         self._pending[ReportKind.RESTARTED, name_hash, 0] = _PendingReport(now, ReportStatus.HEALTHY)
@@ -232,11 +240,11 @@
             now,
             failures.process_ended or process_ended,
         )
-        accused = any(
+        already_reported = any(
             s.report.status and s.report.detail == cls + 1
             for s in self.reports.find(now, ReportKind.SERVER, name_hash)
         )
-        if failures.count >= FAILURES_TO_REPORT or process_ended or accused:
+        if failures.count >= FAILURES_TO_REPORT or process_ended or already_reported:
             self._schedule_report(
                 now,
                 ReportKind.SERVER,
@@ -246,13 +254,16 @@
             )
 
     def record_reports(self, stored: list[StoredReport]) -> None:
-        """What others have said anew."""
+        """Note which servers have new reports from other members."""
         self._changed.update(s.report.subject for s in stored)
 
-    # --- what is said ---------------------------------------------------------------------------
+    # --- own reports ----------------------------------------------------------------------------
 
     def _report_healthy(self, now: int, kind: ReportKind, name_hash: int, detail: int, sent: int) -> None:
-        """A call was answered. If it was sent after the accusations of the subject were known, that says so."""
+        """Report the subject healthy, if the answered call was sent after a failure report on it was known.
+
+        So an earlier success does not contradict a later failure.
+        """
         pending = self._pending.get((kind, name_hash, detail))
         if pending is not None and pending.status:
             del self._pending[kind, name_hash, detail]
@@ -282,7 +293,7 @@
         self._pending[subject] = _PendingReport(now + int(self._random() * REPORT_JITTER_NS), status)
 
     def next_due(self) -> int | None:
-        """When `tick` wants to be called next; None while nothing is open."""
+        """When to call `tick` next; None while nothing is due."""
         times = [pending.at for pending in self._pending.values()]
         times += [
             ejection.probed_at + PROBE_SLOT_NS if ejection.probing else ejection.next_probe_at
@@ -293,7 +304,7 @@
         return min(times, default=None)
 
     def tick(self, now: int) -> bool:
-        """Time has passed, or words were heard: judge anew. Whether something is to be told to all at once."""
+        """Publish due reports, evaluate servers and begin probes; True if there is something to broadcast."""
         published = False
         for subject, pending in list(self._pending.items()):
             if now < pending.at:
@@ -326,16 +337,16 @@
         return published
 
     def _is_redundant(self, now: int, subject: Subject, status: ReportStatus) -> bool:
-        """Whether enough others have said the same, so that one more word would change nothing."""
+        """Whether enough others have reported the same, so that one more report would change nothing."""
         kind, name_hash, detail = subject
         failing, healthy = self._split_reports(now, kind, name_hash, detail)
         if self._own_report(failing, healthy) is not None:
-            return False  # it takes back what it said
+            return False  # it replaces this member's earlier report
         if status:
             return len(failing) >= 2 * MIN_REPORTERS and self._is_ejectable(failing, healthy)
         return bool(healthy) and not self._is_ejectable(failing, healthy)
 
-    # --- judgement ------------------------------------------------------------------------------
+    # --- evaluation -----------------------------------------------------------------------------
 
     def _split_reports(
         self, now: int, kind: ReportKind, name_hash: int, detail: int
@@ -347,11 +358,11 @@
         return next((s for s in (*failing, *healthy) if s.owner == self.index), None)
 
     def _count_same_zone(self, reports: list[StoredReport]) -> int:
-        """How many of them are of this member's zone."""
+        """The number of reports from this member's zone."""
         return sum(s.report.zone == self.zone for s in reports)
 
     def _is_ejectable(self, failing: list[StoredReport], healthy: list[StoredReport]) -> bool:
-        """Whether accusations make a verdict for this member."""
+        """Whether the failure reports suffice for an ejection by this member."""
         same_zone = self._count_same_zone(failing)
         if same_zone >= MIN_REPORTERS and same_zone > HEALTHY_REPORT_WEIGHT * self._count_same_zone(healthy):
             return True
@@ -386,7 +397,7 @@
             }
 
     def _evaluate_server(self, now: int, name_hash: int) -> set[tuple[int, int]]:
-        """The verdicts that stand on one node."""
+        """Update the ejections of one server; return the keys of those in force."""
         standing = set()
         for detail in {s.report.detail for s in self.reports.find(now, ReportKind.SERVER, name_hash)}:
             failing, healthy = self._split_reports(now, ReportKind.SERVER, name_hash, detail)
@@ -407,9 +418,8 @@
             if ejection.probe_delay_ns != PROBE_SLOT_NS and any(
                 s.reported_at >= ejection.probed_at for s in healthy
             ):
-                ejection.probe_delay_ns = (
-                    PROBE_SLOT_NS  # the trial went well: the next one shall soon say the same
-                )
+                # The probe succeeded: let the next member confirm it soon.
+                ejection.probe_delay_ns = PROBE_SLOT_NS
                 ejection.next_probe_at = self._next_probe(key, ejection)
         return standing
 
@@ -426,7 +436,7 @@
                 )
 
     def _apply_restarts(self, now: int, name_hash: int) -> None:
-        """One member's word that a node is new is believed where that node was gone by the verdict of many."""
+        """Accept a single report of a restart if an ejection recently found that the process had ended."""
         name = self._servers.names[name_hash]
         process_ended = now - self._process_ended_at.get(name_hash, -REPORT_LIFETIME_NS) < REPORT_LIFETIME_NS
         for stored in self.reports.find(now, ReportKind.RESTARTED, name_hash):
@@ -439,28 +449,28 @@
 
     def _begin_probe(self, at: int, key: tuple[int, int], ejection: _Ejection, owner: int) -> None:
         ejection.probed_at, ejection.probed_by, ejection.probing = at, owner, False
-        ejection.probe_number += 1
-        if ejection.probe_number > 1:
+        ejection.probes_begun += 1
+        if ejection.probes_begun > 1:
             ejection.probe_delay_ns = min(2 * ejection.probe_delay_ns, MAX_PROBE_DELAY_NS)
         ejection.next_probe_at = self._next_probe(key, ejection)
 
     def _next_probe(self, key: tuple[int, int], ejection: _Ejection) -> int:
-        """When this member would make the next trial, if nobody before it in the order does."""
+        """When this member would make the next probe, if none of those before it in the order does."""
         present_members = self._present_members()
-        own_rank = self._rank(key, ejection, self.index)
+        own_weight = self._probe_weight(key, ejection, self.index)
         rank = sum(1 for n in present_members if n not in (self.index, ejection.probed_by)
-                   and self._rank(key, ejection, n) > own_rank)  # fmt: skip
+                   and self._probe_weight(key, ejection, n) > own_weight)  # fmt: skip
         if ejection.probed_by == self.index:
             rank = len(present_members)
         return ejection.probed_at + ejection.probe_delay_ns + rank * PROBE_SLOT_NS
 
-    def _rank(self, key: tuple[int, int], ejection: _Ejection, member: int) -> int:
+    def _probe_weight(self, key: tuple[int, int], ejection: _Ejection, member: int) -> int:
         return crc32(f"{key[0]}/{key[1]}/{ejection.probed_by}/{member}".encode())
 
-    # --- what comes of it -----------------------------------------------------------------------
+    # --- results --------------------------------------------------------------------------------
 
     def ejections(self) -> Ejections:
-        """All verdicts in force, as of the last `tick`."""
+        """The ejections in force, as of the last `tick`."""
         return self._current
 
     def _compile(self, now: int) -> Ejections:
@@ -490,7 +500,7 @@
         )
 
     def status_rows(self, now: int) -> list[EjectionStatus]:
-        """What is said of nodes and zones, for operators."""
+        """The reports and ejections by server and zone, for operators."""
         rows = []
         for kind, names in ((ReportKind.SERVER, self._servers.names), (ReportKind.ZONE, self._zone_by_hash)):
             for name_hash in self.reports.subjects(kind):
--- a/covetally/tier/reports.py
+++ b/covetally/tier/reports.py
@@ -1,13 +1,13 @@
-"""What the members of a tier tell each other beside who is there. No I/O; times are ns on one monotonic clock.
+"""Reports that the members of a tier make on servers and zones. No I/O; times are ns on one monotonic clock.
 
-Each fact has an owner, a counter and an age. It is told by its owner and by nobody else, so the sender's address
-(the shell checks it) is all the proof it needs, and nobody can be made to have said what it did not. Of one owner
-and one subject the higher counter holds, within one life of the owner; of two lives the one of the higher
-incarnation. So order, repeats and losses of datagrams do not matter.
+Each report has an owner, a counter and an age. Only its owner sends it, so the sender's address, which the
+transport has checked, is sufficient proof of origin, and no member can make up another's report. Within one
+process of an owner, the report with the highest counter on a subject counts; among its processes, the one with
+the highest incarnation counts. So reordered, repeated and lost datagrams do no harm.
 
-A fact counts for `LASTS_NS` after it was said. Clocks are not compared: it says how old it was when it was sent,
-and what it was under way comes on top of that, unknown. So at its end it may be older than that by as long as its
-datagram took.
+A report expires `REPORT_LIFETIME_NS` after it was made. Clocks are not compared: a datagram carries the age that
+the report had when it was sent, and the time in transit is unknown. So at its expiry a report can be older than
+the lifetime by its time in transit.
 """
 
 from __future__ import annotations
@@ -16,31 +16,34 @@
 from typing import NamedTuple
 
 REPORT_LIFETIME_NS = 10_000_000_000
-AGE_UNIT_NS = 50_000_000  # unit of the ages told: one byte holds 12.75 s
-MAX_REPORTS_PER_OWNER = 64  # facts kept of one owner, the last ones said
-MAX_DIGEST_REPORTS = 10  # facts in one datagram
+AGE_UNIT_NS = 50_000_000  # unit of an age on the wire, where one byte holds up to 12.75 s
+MAX_REPORTS_PER_OWNER = 64  # reports kept per owner; the oldest are dropped first
+MAX_DIGEST_REPORTS = 10  # reports in one datagram
 
 
 class ReportKind(enum.IntEnum):
-    """What a fact is about. Of those in one digest the lower numbers come first."""
+    """The kind of a report. A digest lists lower values first."""
 
-    ZONE = 1  # `subject` is a zone: `word` FAILS or WELL, as seen from the zone `detail`
-    SERVER = 2  # `subject` is a node: `word` FAILS or WELL, for the class `detail` - 1, or with 0 for all
-    PROBE = 3  # the owner makes the tier's one trial call to this node now
-    RESTARTED = 4  # this node's process had ended, and answers again since
+    ZONE = 1  # `subject` is a zone; `status` is FAILING or HEALTHY
+    SERVER = 2  # `subject` is a server; `detail` is the class + 1, or 0 for all classes
+    PROBE = 3  # the owner now makes the tier's single probe of this server
+    RESTARTED = 4  # this server's process had ended, and answers again
 
 
 class ReportStatus(enum.IntEnum):
-    """What is said of the subject."""
+    """The status that a report gives its subject."""
 
     HEALTHY = 0
-    FAILING = 1  # no answer, or one that is a failure
-    PROCESS_ENDED = 2  # no connection: its process is not there
+    FAILING = 1  # a call got no answer, or one that counts as a failure
+    PROCESS_ENDED = 2  # connections fail: the process does not run
 
 
 class Report(NamedTuple):
-    """`subject` is the CRC-32 of a name; `zone` the owner's, by its number in the settings; `age_ns` how long ago
-    it was said."""
+    """One member's report on a server or zone.
+
+    `subject` is the CRC-32 of its name, `zone` the index of the reporting member's zone in the settings, and
+    `age_ns` the time since the report was made.
+    """
 
     kind: ReportKind
     subject: int
@@ -52,7 +55,7 @@
 
 
 class StoredReport(NamedTuple):
-    """A fact as it is kept: who said it, when by this member's clock."""
+    """A report in the store, with the member that made it and the time by this member's clock."""
 
     owner: int
     report: Report
@@ -63,7 +66,7 @@
 
 
 class _OwnerState:
-    """All that one life of one member has said."""
+    """The reports of one process of one member. A restarted process has another boot ID."""
 
     __slots__ = ("reports", "incarnation", "boot_id")
 
@@ -73,7 +76,7 @@
 
 
 class ReportStore:
-    """What is known, and what this member tells."""
+    """The reports received from other members, and this member's own."""
 
     def __init__(self, index: int, zone: int) -> None:
         self.index, self.zone = index, zone
@@ -82,20 +85,20 @@
         self._by_subject: dict[tuple[ReportKind, int], dict[tuple[int, int], StoredReport]] = {}
 
     def publish(self, now: int, kind: ReportKind, subject: int, status: ReportStatus, detail: int = 0) -> None:
-        """A fact of this member's own, in place of what it said of the same before."""
+        """Add a report of this member's own; it replaces its last one on the same subject and detail."""
         self._counter += 1
         report = Report(kind, subject, self._counter, status, detail, self.zone)
         self._store(self._owners[self.index], self.index, report, now)
 
     def digest(self, now: int) -> tuple[Report, ...]:
-        """This member's own facts for one datagram: zones before nodes, then the latest."""
+        """This member's own reports for one datagram: ordered by kind, the latest first."""
         own = self._owners[self.index].reports
         self._expire(now, own)
         stored = sorted(own.values(), key=lambda s: (s.report.kind, -s.report.counter))[:MAX_DIGEST_REPORTS]
         return tuple(s.report._replace(age_ns=now - s.reported_at) for s in stored)
 
     def unsent(self, now: int) -> tuple[Report, ...]:
-        """This member's own facts that `news` has not given yet, for one word to all."""
+        """This member's own reports since the last call, for a broadcast."""
         new = [report for report in self.digest(now) if report.counter > self._sent_counter]
         self._sent_counter = self._counter
         return tuple(new)
@@ -103,7 +106,7 @@
     def receive(
         self, now: int, owner: int, boot_id: int, incarnation: int, reports: tuple[Report, ...]
     ) -> list[StoredReport]:
-        """What a member has told; returns what of it is new."""
+        """Store the reports that a member sent; return those that are new."""
         if owner == self.index or not reports:
             return []
         owner_state = self._owners.get(owner)
@@ -112,7 +115,7 @@
                 self.forget(owner)
             owner_state = self._owners[owner] = _OwnerState(boot_id, incarnation)
         elif boot_id != owner_state.boot_id:
-            return []  # late words of a life before
+            return []  # delayed reports of an earlier process
         owner_state.incarnation = max(owner_state.incarnation, incarnation)
         new = []
         for report in reports:
@@ -124,13 +127,13 @@
         return new
 
     def forget(self, owner: int) -> None:
-        """An owner that is no member any more."""
+        """Drop all reports of a member that is no longer on the list of peers."""
         if (owner_state := self._owners.pop(owner, None)) is not None:
             for key in list(owner_state.reports):
                 self._remove(owner_state.reports, key)
 
     def find(self, now: int, kind: ReportKind, subject: int) -> list[StoredReport]:
-        """What counts of a subject now, this member's own word with it."""
+        """The reports on a subject that have not expired, including this member's own."""
         return [
             s
             for s in self._by_subject.get((kind, subject), {}).values()
@@ -139,15 +142,15 @@
 
     @property
     def has_reports(self) -> bool:
-        """Whether anything is kept."""
+        """Whether the store holds any report."""
         return bool(self._by_subject)
 
     def subjects(self, kind: ReportKind) -> list[int]:
-        """All that anything was said of."""
+        """The subjects with reports of this kind."""
         return [subject for known_kind, subject in self._by_subject if known_kind is kind]
 
     def expire(self, now: int) -> None:
-        """Let go of what counts no more."""
+        """Drop the reports that have expired."""
         for owner_state in self._owners.values():
             self._expire(now, owner_state.reports)
 
@@ -157,7 +160,7 @@
 
     def _store(self, owner_state: _OwnerState, owner: int, report: Report, reported_at: int) -> StoredReport:
         key = (report.kind, report.subject, report.detail)
-        owner_state.reports.pop(key, None)  # so that the last one said stands last
+        owner_state.reports.pop(key, None)  # keeps the reports in the order in which they were made
         if len(owner_state.reports) >= MAX_REPORTS_PER_OWNER:
             self._remove(owner_state.reports, next(iter(owner_state.reports)))
         stored = owner_state.reports[key] = StoredReport(owner, report, reported_at)
--- a/covetally/tier/settings.py
+++ b/covetally/tier/settings.py
@@ -1,4 +1,4 @@
-"""What the operators' file and the platform's configuration make of the tier."""
+"""Derives a sidecar's tier configuration from the operators' settings and the platform's configuration."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from covetally.tier.member import LEASE_CHECK_INTERVAL_NS, MemberConfig
 from covetally.tier.transport import TenantLimit
 
-RESPONSE_MARGIN_NS = SECOND  # past a class's deadline: its last attempt is closed
+RESPONSE_MARGIN_NS = SECOND  # after a class's deadline; by then its last attempt is closed
 
 
 @dataclass(frozen=True, slots=True)
 class TierConfig:
-    """How a member takes part: its number, how many there are, and the limits that they hold."""
+    """How this sidecar takes part in its tier: its index, the number of members, and the shared limits."""
 
     index: int
     size: int
@@ -26,17 +26,20 @@
 
 
 def tier_config(settings: Settings, peers: int, values: Mapping[str, Value]) -> TierConfig:
-    """The plan for a sidecar of `peers`; OperatorError where a limit could not hold."""
+    """The tier configuration of one of `peers` sidecars.
+
+    Raises OperatorError if the index is not in the list of peers, or if a limit could not be enforced.
+    """
     problems: list[Problem] = []
     if not 0 <= settings.index < peers:
-        reason = f"this sidecar's number is {settings.index}, and {peers} are listed"
+        reason = f"this sidecar's index is {settings.index}, but {peers} sidecars are listed"
         raise OperatorError([Problem("peers", peers, reason, "list every sidecar of the tier, in order")])
     lease_s, delay_ms = float(values.get("tier.lease_s", 4)), float(values.get("tier.delay_ms", 50))
     min_lease_s = 2 * (LEASE_CHECK_INTERVAL_NS / SECOND + 2 * delay_ms / 1000)
     if lease_s < min_lease_s:
         reason = (
-            f"a loan is asked for again when half of its time is left: {LEASE_CHECK_INTERVAL_NS / SECOND:g} s "
-            f"until that is seen and 2 x {delay_ms:g} ms on the way do not fit into {lease_s / 2:g} s"
+            f"a lease is renewed when half of its time is left: {LEASE_CHECK_INTERVAL_NS / SECOND:g} s until "
+            f"the next check and 2 x {delay_ms:g} ms in transit do not fit into {lease_s / 2:g} s"
         )
         problems.append(Problem("tier.lease_s", lease_s, reason, f"at least {min_lease_s:g}"))
     tenants = {tenant.name: number for number, tenant in enumerate(settings.tenants)}
@@ -49,7 +52,7 @@
         tenant = name.removeprefix(prefix)
         if tenant not in tenants:
             known = ", ".join(sorted(tenants)) or "none"
-            problems.append(Problem(name, value, "the platform names no such workshop", f"it names {known}"))
+            problems.append(Problem(name, value, "the platform names no such tenant", f"it names {known}"))
             continue
         in_flight = prefix == IN_FLIGHT
         rule = Rule(
@@ -59,7 +62,7 @@
         )  # fmt: skip
         limits.append(TenantLimit(tenants[tenant], rule))
     if limits and "workers.count" in values and values["workers.count"] != 1:
-        reason = "a limit is one process's to keep: each worker would use all of this sidecar's part"
+        reason = "only one process can keep a limit: each worker would use all of this sidecar's quota"
         problems.append(Problem("workers.count", values["workers.count"], reason, "1, or no tier limits"))
     if problems:
         raise OperatorError(problems)
--- a/covetally/tier/swim.py
+++ b/covetally/tier/swim.py
@@ -1,27 +1,30 @@
-"""Which sidecars of a tier are there, as one of them sees it. No I/O; times are ns on one monotonic clock.
-
-SWIM (Das, Gupta, Motivala 2002) with what Lifeguard (Dadgar, Phillips, Currey 2018) added for slow members:
-each period a member asks one other, in an order that meets each once a round; who does not answer is asked
-through some others; who does not answer those either is suspected, everybody is told, and the suspected one may
-contradict.
-
-    state      how a member comes into it                             how it leaves it
-    -----      --------------------------                             ----------------
-    unknown    at the start: it is on the list of peers              its own word: alive
-    alive      its own word                                          its own word, or an accusation: suspected
-    suspected  no answer to me nor through others, or an accusation  its own word, of a higher incarnation: alive
-    gone       suspected all the time by WITNESSES others, or by     its own word, of a higher incarnation: alive
-               this member's own unanswered call
-    left       its own word, at its end                              a new life's word: alive
-
-What is known of a member is ordered by its incarnation, which only the member raises, then by state: so order,
-repeats and losses of messages do not matter. Nobody speaks for another but to accuse, and one accuser alone
-convicts nobody: who has not called the accused in vain needs WITNESSES of them. A process that starts from
-nothing under an old number has a new life, a random number; told what was said of the life before, it takes a
-higher incarnation than that one had.
-
-A member that is late itself (stopped, short of CPU) first doubts itself: calls that were out while it stood
-still count for nothing, and the less its own calls are answered the longer it waits and the longer it suspects.
+"""Membership of a tier as seen by one of its sidecars. No I/O; times are ns on one monotonic clock.
+
+This is SWIM (Das, Gupta, Motivala 2002) with the extensions of Lifeguard (Dadgar, Phillips, Currey 2018) for slow
+members. In each interval a member pings one other, in an order that reaches each once a round. One that does not
+answer is pinged through some other members. One that does not answer those either is suspected; the suspicion is
+gossiped to all, and the suspected member may refute it.
+
+    state      entered by                                        left by
+    -----      ----------                                        -------
+    unknown    start, or a new entry in the list of peers        any valid update on the member
+    alive      the member's own claim, direct or forwarded;      an unanswered ping or a failure report:
+               a suspicion that too few members confirmed        suspected; the member's own claim: left
+    suspected  an unanswered ping of this member's own, direct   its claim with a higher incarnation: alive; the
+               and through others; a failure report (suspected   suspicion time: gone, if this member's own ping
+               or gone) of another member                        failed or MIN_REPORTERS members reported it;
+                                                                 twice the suspicion time: alive, otherwise
+    gone       the suspicion time, as above                      its claim with a higher incarnation: alive
+    left       the member's own claim, at its shutdown           the claim of a new process: alive
+
+Updates on a member are ordered by its incarnation, which only that member raises, then by state. So reordered,
+repeated and lost messages do no harm. Members report on others only to suspect them, and one reporter alone
+never makes a member gone: a member that has not itself pinged the suspect in vain needs MIN_REPORTERS reports. A
+process that starts without state under an index that was used before has a new boot ID, a random number. It
+learns what is known of the earlier process, and takes a higher incarnation.
+
+A member that is slow itself (stopped, or short of CPU) distrusts its own observations first. Pings that were open
+while it was stopped are discarded. The fewer of its pings are answered, the longer its timeouts and suspicions.
 """
 
 from __future__ import annotations
@@ -32,18 +35,18 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from covetally.tier.token_bucket import TokenBucket
 from covetally.tier.reports import Report
+from covetally.tier.token_bucket import TokenBucket
 
 SECOND = 1_000_000_000
-MIN_REPORTERS = 2  # accusers who convict without an own call
-MAX_INCARNATION_JUMP = 64  # an incarnation is believed from hearsay up to so much over the one known
-MAX_LOCAL_HEALTH_SCORE = 8  # the most by which a member that doubts itself stretches its times
-RETRANSMIT_FACTOR = 3  # a rumour is passed on so many times log2 of the tier's size
+MIN_REPORTERS = 2  # failure reports that suffice without an unanswered ping of this member's own
+MAX_INCARNATION_JUMP = 64  # a third party's update may raise a known incarnation by at most this
+MAX_LOCAL_HEALTH_SCORE = 8  # an unhealthy member stretches its timeouts up to 1 + this many times
+RETRANSMIT_FACTOR = 3  # an update is sent this many times log2 of the tier's size
 
 
 class State(enum.IntEnum):
-    """What is believed of a member, in the order in which words of one incarnation outweigh each other."""
+    """The state of a member. Of updates with the same incarnation, the one with the higher value wins."""
 
     UNKNOWN = 0
     ALIVE = 1
@@ -53,19 +56,21 @@
 
 
 class MessageKind(enum.IntEnum):
-    """What a message is for."""
+    """The kind of a message."""
 
-    PING = 1  # are you there?
-    ACK = 2  # I am
-    PING_REQUEST = 3  # ask `target` for me
-    GOSSIP = 4  # nothing but what it carries
-    LEASE_REQUEST = 5  # lend me of a limit
-    LEASE_GRANT = 6  # I do
+    PING = 1  # asks for an ACK
+    ACK = 2  # answers a PING, or forwards the target's ACK for a PING_REQUEST
+    PING_REQUEST = 3  # asks the receiver to ping `target` on the sender's behalf
+    GOSSIP = 4  # only carries updates and reports
+    LEASE_REQUEST = 5  # asks for a lease on a part of a limit, or its renewal
+    LEASE_GRANT = 6  # grants the lease
 
 
 class MemberUpdate(NamedTuple):
-    """What is said of a member. `witness` accuses where the state is suspected or gone, and is the member
-    itself elsewhere."""
+    """A member's state, as sent in messages.
+
+    `reporter` is the member whose ping failed if the state is SUSPECTED or GONE, and the member itself otherwise.
+    """
 
     member: int
     state: State
@@ -75,8 +80,11 @@
 
 
 class LeasePayload(NamedTuple):
-    """What a WANT or a GRANT says of the limit whose name has this mark; see `limits`. Of a GRANT, `amount` is
-    all that is lent, of a WANT what each member is to lend more."""
+    """The body of a LEASE_REQUEST or LEASE_GRANT; see `limits`.
+
+    `limit_id` is the CRC-32 of the limit's name. `amount` is the total lent in a LEASE_GRANT, and what each
+    member is asked to lend in addition in a LEASE_REQUEST.
+    """
 
     limit_id: int
     sequence: int
@@ -85,9 +93,11 @@
 
 
 class Message(NamedTuple):
-    """One datagram. The sender's number, life and incarnation are its own word on itself. `number` is given back
-    in the answer; `target` is whom an ASK_FOR is about, and in an answer the one who answered. The sender's own
-    facts, and its word on a limit, are for other modules."""
+    """The content of one datagram.
+
+    An ACK returns the `sequence` of its PING. `target` is the member to ping in a PING_REQUEST, and the member
+    that answered in an ACK. Other modules handle the sender's `reports` and `lease`.
+    """
 
     kind: MessageKind
     sender: int
@@ -101,7 +111,7 @@
 
 
 class Outgoing(NamedTuple):
-    """A message for a peer, or with -1 for all."""
+    """A message to send to a peer; -1 means all peers."""
 
     peer: int
     message: Message
@@ -109,19 +119,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Timing:
-    """How often and how long. Durations in ns."""
+    """Intervals, timeouts and rates. Durations are in ns."""
 
-    ping_interval_ns: int = SECOND  # one call each
-    ack_timeout_ns: int = SECOND // 5  # for an answer; the links' longest way there and back, and some
-    indirect_pings: int = 3  # members who ask once more for one that did not answer
-    suspicion_intervals: float = 4.0  # periods of suspicion for each power of ten of the tier's size
-    max_updates: int = 8  # the most in one message
-    replies_per_s: int = 20  # answers and errands for others, however many ask
+    ping_interval_ns: int = SECOND  # each member pings one other
+    ack_timeout_ns: int = SECOND // 5  # longer than the longest round trip between members
+    indirect_pings: int = 3  # members asked to ping one that did not answer
+    suspicion_intervals: float = 4.0  # suspicion time, in ping intervals per power of ten of the size
+    max_updates: int = 8  # in one message
+    replies_per_s: int = 20  # replies and pings on behalf of others, in total
 
 
 @dataclass(slots=True)
 class _Member:
-    """What is believed of one member."""
+    """What this member knows of another."""
 
     state: State = State.UNKNOWN
     incarnation: int = 0
@@ -132,18 +142,18 @@
 
 @dataclass(slots=True)
 class _Ping:
-    """A call without an answer yet."""
+    """A ping that has not been answered yet."""
 
     target: int
-    indirect_at: int  # asked through others then
-    expires_at: int  # suspected then
+    indirect_at: int  # when to ping through others
+    expires_at: int  # when to suspect the target
     requester: int = -1
     requester_sequence: int = 0
     indirect_sent: bool = False
 
 
 class MemberView(NamedTuple):
-    """What operators and the other parts of the tier see of a member."""
+    """The view of one member for operators and the other parts of the tier."""
 
     member: int
     state: State
@@ -154,17 +164,17 @@
 
 
 class Membership:
-    """One member's view of its tier of `size`, numbered from 0."""
+    """One member's membership view of its tier of `size` members, numbered from 0."""
 
     def __init__(
         self, index: int, size: int, boot_id: int, seed: int, now: int, timing: Timing | None = None
     ) -> None:
         self.index, self.boot_id, self.incarnation = index, boot_id, 1
         self.timing = timing or Timing()
-        self.due = now  # when `tick` wants to be called
-        self.duplicate_count = 0  # times that another life spoke with this number while this one was up
-        self.invalid_count = 0  # messages that cannot be true
-        self.local_health_score = 0  # Lifeguard's local health: 0 is well
+        self.due = now  # when to call `tick` next
+        self.duplicate_count = 0  # messages from another process with this member's index
+        self.invalid_count = 0  # updates and messages that cannot be valid
+        self.local_health_score = 0  # as in Lifeguard; 0 is healthy
         self._random = random.Random(seed)
         self._members = {n: _Member(since=now) for n in range(size)}
         self._members[index] = _Member(State.ALIVE, 1, boot_id, now)
@@ -172,43 +182,43 @@
         self._pings: dict[int, _Ping] = {}
         self._sequence = 0
         self._next_ping_at = now
-        self._transmissions: dict[int, int] = {index: 0}  # member: how often its present word was passed on
-        # A peer that asks ten thousand times a second is answered as often as any other needs to be.
+        self._transmissions: dict[int, int] = {index: 0}  # by member: how often its current update was sent
+        # Limits replies in total, so that a peer that floods this member with pings gains nothing.
         self._reply_bucket = TokenBucket(self.timing.replies_per_s, self.timing.replies_per_s, now)
         self._last_tick = now
         self._has_left = False
 
-    # --- what is known --------------------------------------------------------------------------
+    # --- state ----------------------------------------------------------------------------------
 
     def compose(
         self, kind: MessageKind, reports: tuple[Report, ...] = (), lease: LeasePayload | None = None
     ) -> Message:
-        """A message for other modules' words, with nothing on who is there but this member's own word."""
+        """A message without member updates, for the reports or lease of other modules."""
         return Message(kind, self.index, self.boot_id, self.incarnation, 0, self.index, (), reports, lease)
 
     @property
     def size(self) -> int:
-        """Members of the tier, this one among them."""
+        """The number of members, including this one."""
         return len(self._members)
 
     def views(self) -> list[MemberView]:
-        """What is believed of each member, by number."""
+        """The view of each member, by index."""
         return [
             MemberView(n, m.state, m.incarnation, m.boot_id, m.since, tuple(sorted(m.reporters)))
             for n, m in sorted(self._members.items())
         ]
 
     def state(self, member: int) -> State:
-        """What is believed of a member; UNKNOWN of one that is not on the list."""
+        """The state of a member; UNKNOWN if it is not on the list."""
         known = self._members.get(member)
         return known.state if known else State.UNKNOWN
 
     def present_members(self) -> list[int]:
-        """The members that count as there: alive or only suspected, this one among them."""
+        """The members that are alive or suspected, including this one."""
         return [n for n, m in sorted(self._members.items()) if m.state in (State.ALIVE, State.SUSPECTED)]
 
     def suspicion_ns(self) -> int:
-        """How long a member is suspected before it counts as gone."""
+        """How long a member stays suspected before it is gone."""
         size_factor = max(1.0, math.log10(max(1, self.size)))
         return int(
             self.timing.suspicion_intervals
@@ -220,7 +230,7 @@
     # --- events ---------------------------------------------------------------------------------
 
     def resize(self, now: int, size: int) -> None:
-        """The list of peers has another length: members past it are forgotten, new ones are unknown."""
+        """Adopt another length of the list of peers: drop the members past it, add new ones as unknown."""
         for number in [n for n in self._members if n >= size and n != self.index]:
             del self._members[number]
             self._transmissions.pop(number, None)
@@ -229,7 +239,7 @@
         self._ping_order = [n for n in self._ping_order if n < size]
 
     def leave(self, now: int) -> list[Outgoing]:
-        """This member ends: some are told, and tell the others."""
+        """Announce to some members that this one leaves; they spread it."""
         self._has_left = True
         self.incarnation += 1
         self._set_state(now, self.index, State.LEFT, self.incarnation, self.boot_id, self.index)
@@ -239,12 +249,12 @@
         ]
 
     def tick(self, now: int) -> list[Outgoing]:
-        """Time has passed: call the next one, widen or end what is not answered, end suspicions."""
+        """Send the next ping, handle unanswered ones, and end suspicions that are due."""
         if self._has_left or now < self.due:
             return []
-        sends: list[Outgoing] = []
+        outgoing: list[Outgoing] = []
         if now - self._last_tick > 2 * self.timing.ping_interval_ns:
-            # It stood still: whatever was not answered meanwhile may have been, and suspicions ran on unheard.
+            # This process was paused: answers may have been missed, and refutations of suspicions too.
             self._degrade_local_health()
             self._pings.clear()
             for member in self._members.values():
@@ -260,7 +270,7 @@
             elif now >= ping.indirect_at and not ping.indirect_sent and ping.requester < 0:
                 ping.indirect_sent = True
                 helpers = self._random_members(self.timing.indirect_pings, exclude=ping.target)
-                sends += [
+                outgoing += [
                     Outgoing(peer, self._message(MessageKind.PING_REQUEST, sequence, ping.target))
                     for peer in helpers
                 ]
@@ -270,19 +280,19 @@
                 continue
             if self.index in member.reporters or len(member.reporters) >= MIN_REPORTERS:
                 self._set_state(now, number, State.GONE, member.incarnation, member.boot_id, self.index)
-            elif now - member.since >= 2 * suspicion:  # hearsay of one, and nobody else in all that time
+            elif now - member.since >= 2 * suspicion:  # too few members reported it in all that time
                 self._clear_suspicion(now, number)
         if now >= self._next_ping_at:
             self._next_ping_at = max(
                 self._next_ping_at + self.timing.ping_interval_ns, now + self.timing.ping_interval_ns // 2
             )
             if (target := self._next_target()) is not None:
-                sends.append(self._ping(now, target))
+                outgoing.append(self._ping(now, target))
         self.due = self._next_due(now)
-        return sends
+        return outgoing
 
     def receive(self, now: int, message: Message) -> list[Outgoing]:
-        """A message has come. Whom it is from is the sender's word: the shell has checked its address."""
+        """Handle a message. The caller has checked that it comes from the address of its sender."""
         if self._has_left:
             return []
         sender = message.sender
@@ -321,11 +331,14 @@
         self.local_health_score = max(0, self.local_health_score - 1)
         return []
 
-    # --- what is told ---------------------------------------------------------------------------
+    # --- updates --------------------------------------------------------------------------------
 
     def _process_sender(self, now: int, message: Message) -> list[Outgoing]:
-        """The sender's own word on itself. Where something of a life before outweighs it, it is told so and takes
-        a higher incarnation."""
+        """Apply what the message says of its sender.
+
+        If newer information contradicts it, such as that on an earlier process, the sender gets it in a reply and
+        takes a higher incarnation.
+        """
         sender = message.sender
         known = self._members[sender]
         claim = (message.incarnation, State.ALIVE)
@@ -350,13 +363,13 @@
                 self._refute(now, incarnation)
             return
         if state in (State.ALIVE, State.LEFT) and reporter != member:
-            self.invalid_count += 1  # nobody says for another that it lives or has left
+            self.invalid_count += 1  # only the member itself can say that it is alive or has left
             return
         if incarnation > known.incarnation + MAX_INCARNATION_JUMP and member != sender:
             self.invalid_count += 1
             return
         if state is State.GONE and (incarnation, State.GONE) > (known.incarnation, known.state):
-            # Another's verdict is an accusation here: this member counts its witnesses itself.
+            # Another member's decision counts as a failure report: this member counts reporters itself.
             state = State.SUSPECTED
         if (incarnation, state) > (known.incarnation, known.state):
             self._set_state(now, member, state, incarnation, boot_id, reporter)
@@ -383,7 +396,7 @@
         self._transmissions[member] = 0
 
     def _clear_suspicion(self, now: int, member: int) -> None:
-        """A lone accusation has aged without another: it counts no more."""
+        """End a suspicion that too few members have confirmed in time."""
         known = self._members[member]
         known.state, known.since, known.reporters = State.ALIVE, now, set()
         self._transmissions.pop(member, None)
@@ -398,13 +411,16 @@
         self._set_state(now, member, State.SUSPECTED, known.incarnation, known.boot_id, self.index)
 
     def _refute(self, now: int, incarnation: int) -> None:
-        """Something is said of this member that is not so, or was so in a life before."""
+        """Take a higher incarnation, to refute wrong or outdated information on this member."""
         self.incarnation = incarnation + 1
         self._set_state(now, self.index, State.ALIVE, self.incarnation, self.boot_id, self.index)
         self._degrade_local_health()
 
     def _record_duplicate(self, now: int, incarnation: int) -> None:
-        """Another process speaks with this number. Neither can know which one is wanted: operators are told."""
+        """Count a message from another process with this member's index.
+
+        Neither process can know which of the two is wanted, so the count is shown to operators.
+        """
         self.duplicate_count += 1
         self.incarnation = max(self.incarnation, min(incarnation, self.incarnation + MAX_INCARNATION_JUMP))
         self._set_state(now, self.index, State.ALIVE, self.incarnation, self.boot_id, self.index)
@@ -422,8 +438,10 @@
         return Message(kind, self.index, self.boot_id, self.incarnation, sequence, target, updates)
 
     def _select_updates(self, priority_member: int = -1) -> tuple[MemberUpdate, ...]:
-        """Those passed on least, each some times the logarithm of the size; before them what is held against
-        `first`, so that it can contradict."""
+        """The updates sent least often so far; each is sent a number of times that grows with log2 of the size.
+
+        A failure report on `priority_member` comes first, so that this member can refute it.
+        """
         max_transmissions = RETRANSMIT_FACTOR * max(1, math.ceil(math.log2(self.size + 1)))
         if priority_member >= 0 and self._members[priority_member].state > State.ALIVE:
             self._transmissions.setdefault(priority_member, 0)
@@ -452,8 +470,8 @@
         return Outgoing(target, self._message(MessageKind.PING, self._sequence, target, priority_member=target))
 
     def _next_target(self) -> int | None:
-        """The next to be called: each once a round, those that are out too, so that a healed cut shows."""
-        if not self._ping_order:  # `resize` takes out whom it forgets
+        """The next member to ping, once a round each; gone ones too, so that a healed partition is noticed."""
+        if not self._ping_order:  # `resize` removes the members that it drops
             self._ping_order = [n for n in self._members if n != self.index]
             self._random.shuffle(self._ping_order)
         return self._ping_order.pop() if self._ping_order else None
--- a/covetally/tier/token_bucket.py
+++ b/covetally/tier/token_bucket.py
@@ -1,4 +1,4 @@
-"""So much a second, some of which is saved up: how often a member answers, speaks to all, reads of one sender."""
+"""A token bucket, which limits how often a member replies, broadcasts, and reads from one sender."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class TokenBucket:
-    """`per_s` tokens a second, `most` of them saved up; it begins full. Times are ns."""
+    """Refills at `rate_per_s`, holds at most `capacity` tokens, and starts full. Times are in ns."""
 
     __slots__ = ("updated_at", "tokens", "capacity", "rate_per_s")
 
@@ -14,7 +14,7 @@
         self.rate_per_s, self.capacity, self.tokens, self.updated_at = rate_per_s, capacity, float(capacity), now
 
     def take(self, now: int) -> bool:
-        """Whether there is one; it is gone then."""
+        """Take one token; False if there is none."""
         self.tokens = min(self.capacity, self.tokens + (now - self.updated_at) * self.rate_per_s / SECOND)
         self.updated_at = now
         if self.tokens < 1.0:
--- a/covetally/tier/transport.py
+++ b/covetally/tier/transport.py
@@ -1,4 +1,4 @@
-"""A member of a tier on the event loop: its timer, what it sends, what it tells the balancer."""
+"""Runs a tier member on the event loop: its timer, its datagrams, and its events for the balancer."""
 
 from __future__ import annotations
 
@@ -7,21 +7,24 @@
 from dataclasses import dataclass
 from typing import Any
 
-from covetally.interface import SECOND, QuotaUpdate, AttemptStatus, TierWarning
+from covetally.interface import SECOND, AttemptStatus, QuotaUpdate, TierWarning
 from covetally.tier.limits import Rule, UsableQuota
-from covetally.tier.member import Datagram, TierMember, MemberConfig
+from covetally.tier.member import Datagram, MemberConfig, TierMember
 from covetally.tier.outlier_detection import Ejections
 
-WARNING_LIFETIME_NS = 3 * SECOND  # what the balancer is told counts for so long: if this stops, it ends
-WARNING_REFRESH_NS = SECOND
-DEMAND_INTERVAL_NS = SECOND // 4  # at least so often while a limit is held
-DEMAND_SMOOTHING = 0.5  # weight of what was wanted before, in each look at the demand
+WARNING_LIFETIME_NS = 3 * SECOND  # a warning expires after this time if no further one follows
+WARNING_REFRESH_NS = SECOND  # how often an unchanged warning is sent again
+DEMAND_INTERVAL_NS = SECOND // 4  # minimum time between measurements of the demand
+DEMAND_SMOOTHING = 0.5  # weight of the previous value in each measurement
 
 
 @dataclass(frozen=True, slots=True)
 class TransportCallbacks:
-    """What a member works with: the sidecar's clock, its datagrams (to a peer, or with -1 to all), its
-    balancer."""
+    """Functions of the sidecar that a member uses.
+
+    `now` is its clock; `send` sends a datagram to a peer, or to all for -1; `notify` passes an event to the
+    balancer; `demand` gives the calls wanted since the last time, by tenant and whether the limit is in flight.
+    """
 
     now: Callable[[], int]
     send: Callable[[int, bytes], None]
@@ -31,14 +34,14 @@
 
 @dataclass(frozen=True, slots=True)
 class TenantLimit:
-    """A limit, and whose calls it is on."""
+    """A limit and the index of the tenant to whose calls it applies."""
 
     tenant: int
     rule: Rule
 
 
 class TierTransport:
-    """Carries out what `Node` decides."""
+    """Runs a TierMember: sets its timer, sends its datagrams, and notifies the balancer."""
 
     def __init__(
         self,
@@ -62,31 +65,31 @@
         self._sent_quotas: dict[str, UsableQuota] = {}
 
     def start(self) -> None:
-        """From here on."""
+        """Start to take part in the tier."""
         self._send_quotas(self._callbacks.now())
         self._tick()
 
     def stop(self) -> None:
-        """Say that this member ends, and end."""
+        """Stop the timer, and announce that this member leaves."""
         if self._timer is not None:
             self._timer.cancel()
         self._send(self.member.leave(self._callbacks.now()))
 
     def receive(self, sender: int, data: bytes) -> None:
-        """A datagram from a peer's address."""
+        """Handle a datagram from a peer's address."""
         self._apply(self.member.receive(self._callbacks.now(), sender, data))
 
     def record_attempt(self, server: str, status: AttemptStatus, cls: int, sent_ns: int) -> None:
-        """An attempt has ended."""
+        """Record how an attempt ended."""
         self.member.record_attempt(self._callbacks.now(), server, status, cls, sent_ns)
         self._set_timer()
 
     def update_servers(self, servers: dict[str, int]) -> None:
-        """The list of nodes, with the zone of each."""
+        """Adopt the server list: the zone of each server, by name."""
         self.member.update_servers(servers)
 
     def reconfigure(self, size: int, limits: tuple[TenantLimit, ...]) -> None:
-        """The peers or the limits are others from here on."""
+        """Adopt another number of peers, or other limits."""
         now = self._callbacks.now()
         for name in [name for name in self._limits if name not in {limit.rule.name for limit in limits}]:
             removed = self._limits[name]
@@ -98,10 +101,10 @@
         self._set_timer()
 
     def table(self) -> dict[str, Any]:
-        """All of it, for operators."""
+        """The state of this member, as shown to operators."""
         return self.member.table(self._callbacks.now())
 
-    # --- parts ----------------------------------------------------------------------------------
+    # --- internals ------------------------------------------------------------------------------
 
     def _tick(self) -> None:
         self._timer = None
@@ -137,7 +140,7 @@
                 )
 
     def _measure_demand(self, now: int) -> None:
-        """What was wanted of each limit since the last look."""
+        """Measure the demand for each limit since the last measurement."""
         elapsed_s = (now - self._demand_at) / SECOND
         self._demand_at = now
         calls = self._callbacks.demand()
--- a/covetally/tier/wire.py
+++ b/covetally/tier/wire.py
@@ -1,21 +1,23 @@
-"""The members' messages as datagrams of at most 256 bytes, byte by byte. Big-endian throughout.
-
-    offset  bytes  what
-    0       1      0x54, so that the balancer's rumours (8 bytes, no mark) are told apart by length and mark
-    1       1      version of this table: 1. A newer one may add bytes at the end, which older readers pass over
-    2       1      kind: 1 ask, 2 answer, 3 ask for, 4 tell, 5 want, 6 grant
-    3       1      number of rumours that follow, 15 at most
-    4       2      sender, by its number in the list of peers
-    6       4      sender's life
-    10      4      sender's incarnation
-    14      2      number of the call
-    16      2      target
-    18      13 each: member 2, state 1 (1 alive, 2 suspected, 3 gone, 4 left), incarnation 4, life 4, witness 2
-    then    28     only of kinds 5 and 6: mark of the limit 4, number 8, part kept 8 (IEEE 754), amount 8
-    then    1      number of the sender's own facts that follow
-    then    13 each: what 1, subject 4, counter 4, word 1, detail 1, zone 1, age 1 (50 ms each)
-
-Fixed records in place of a serialization library: 8 rumours are 122 bytes here and over 200 in msgpack, of 256.
+"""Wire format of the messages between members: datagrams of at most 256 bytes, big-endian throughout.
+
+    offset  bytes    content
+    0       1        magic byte 0x54; it and the length tell these from the balancer's 8-byte messages
+    1       1        version of this format, 1; a later one may append bytes, which older readers ignore
+    2       1        message kind: 1 ping, 2 ack, 3 ping request, 4 gossip, 5 lease request, 6 lease grant
+    3       1        number of member updates that follow, at most 15
+    4       2        sender, as its index in the list of peers
+    6       4        sender's boot ID
+    10      4        sender's incarnation
+    14      2        sequence number of the ping
+    16      2        target
+    18      13 each  updates: member 2, state 1 (1 alive, 2 suspected, 3 gone, 4 left), incarnation 4, boot ID 4,
+                        reporter 2
+    then    28       only in kinds 5 and 6: limit ID 4, sequence 8, fraction kept 8, amount 8 (both IEEE 754)
+    then    1        number of the sender's own reports that follow
+    then    13 each  reports: kind 1, subject 4, counter 4, status 1, detail 1, zone 1, age 1 (in units of 50 ms)
+
+Fixed records are used instead of a serialization library: 8 updates take 122 bytes here, and over 200 of the 256
+in msgpack.
 """
 
 from __future__ import annotations
@@ -25,7 +27,7 @@
 
 from covetally.errors import DamagedError
 from covetally.tier.reports import AGE_UNIT_NS, Report, ReportKind, ReportStatus
-from covetally.tier.swim import MessageKind, LeasePayload, Message, MemberUpdate, State
+from covetally.tier.swim import LeasePayload, MemberUpdate, Message, MessageKind, State
 
 MAGIC, VERSION = 0x54, 1
 MAX_DATAGRAM_BYTES = 256
@@ -34,18 +36,18 @@
 LEASE = Struct(">IQdd")
 REPORT = Struct(">BIIBBBB")
 LEASE_KINDS = (MessageKind.LEASE_REQUEST, MessageKind.LEASE_GRANT)
-MAX_UPDATES = (MAX_DATAGRAM_BYTES - HEADER.size) // UPDATE.size - 3  # room for what later versions add
+MAX_UPDATES = (MAX_DATAGRAM_BYTES - HEADER.size) // UPDATE.size - 3  # leaves room for what later versions add
 
 
 class MalformedDatagramError(DamagedError, ValueError):
-    """Bytes that are no message of this table."""
+    """A datagram that is not a message in this format."""
 
     code = "datagram"
     remedy = "See that only sidecars of this tier send to peer_listen; it is dropped."
 
 
 def encode(message: Message) -> bytes:
-    """The datagram for a message; rumours past the most, and facts past what fits, are left out."""
+    """Encode a message. Updates above MAX_UPDATES and reports that do not fit are left out."""
     updates = message.updates[:MAX_UPDATES]
     header = HEADER.pack(
         MAGIC, VERSION, message.kind, len(updates), message.sender, message.boot_id, message.incarnation,
@@ -70,14 +72,17 @@
 
 
 def decode(data: bytes) -> Message:
-    """The message in a datagram; Garbage if it is none, is cut short, or has values out of range. Facts of kinds
-    that this version does not know are passed over."""
+    """Decode a datagram.
+
+    Raises MalformedDatagramError if it is not a message, is truncated, or has values out of range. Reports of a
+    kind or status that this version does not know are skipped.
+    """
     if len(data) > MAX_DATAGRAM_BYTES:
-        raise MalformedDatagramError("too long")
+        raise MalformedDatagramError("the datagram is too long")
     try:
         magic, version, kind, count, *rest = HEADER.unpack_from(data)
         if magic != MAGIC or version < VERSION or count > MAX_UPDATES:
-            raise MalformedDatagramError("not of this table")
+            raise MalformedDatagramError("wrong magic byte, version or number of updates")
         kind = MessageKind(kind)
         updates = []
         for i in range(count):
@@ -85,7 +90,7 @@
                 data, HEADER.size + i * UPDATE.size
             )
             if state == State.UNKNOWN:
-                raise MalformedDatagramError("nobody tells that it knows nothing")
+                raise MalformedDatagramError("an update has the state UNKNOWN")
             updates.append(MemberUpdate(member, State(state), incarnation, boot_id, reporter))
         offset = HEADER.size + count * UPDATE.size
         lease = None
--- a/tests/tier/test_limits.py
+++ b/tests/tier/test_limits.py
@@ -10,9 +10,9 @@
 from covetally.lab.tier import Whole
 from covetally.rig.schedule import Link, Step, draw, load, save, shrink
 from covetally.tier import limits as module
-from covetally.tier.limits import RESERVED_FRACTION, Grant, Rule, MemberQuota, LeaseRequest
-from covetally.tier.swim import SECOND
+from covetally.tier.limits import RESERVED_FRACTION, Grant, LeaseRequest, MemberQuota, Rule
 from covetally.tier.member import MemberConfig
+from covetally.tier.swim import SECOND
 
 RULE = Rule("rate", 100.0, 6)
 CALLS = Rule("calls", 60.0, 6, linger_ns=2 * SECOND, in_flight=True)
--- a/tests/tier/test_member_quota.py
+++ b/tests/tier/test_member_quota.py
@@ -5,13 +5,13 @@
 import pytest
 
 from covetally.tier.limits import (
+    HEADROOM,
     RESERVED_FRACTION,
     RETURN_THRESHOLD,
-    HEADROOM,
     Grant,
-    Rule,
-    MemberQuota,
     LeaseRequest,
+    MemberQuota,
+    Rule,
 )
 from covetally.tier.swim import SECOND
 
--- a/tests/tier/test_outlier_detection.py
+++ b/tests/tier/test_outlier_detection.py
@@ -11,11 +11,11 @@
 from covetally.interface import AttemptStatus
 from covetally.lab.verdicts import Calls
 from covetally.rig.schedule import Link, Step
-from covetally.tier import reports as reports_module
 from covetally.tier import outlier_detection as module
-from covetally.tier.reports import REPORT_LIFETIME_NS, Report, ReportStore, ReportKind, ReportStatus
+from covetally.tier import reports as reports_module
+from covetally.tier.reports import REPORT_LIFETIME_NS, Report, ReportKind, ReportStatus, ReportStore
 from covetally.tier.swim import SECOND
-from covetally.tier.outlier_detection import PROBE_SLOT_NS, MAX_EJECTED_FRACTION, Ejections
+from covetally.tier.outlier_detection import MAX_EJECTED_FRACTION, PROBE_SLOT_NS, Ejections
 
 CUT = Link(cut=True)
 
@@ -243,6 +243,6 @@
 
 
 def test_trials_that_all_make_at_once_are_found(monkeypatch):
-    monkeypatch.setattr(module.OutlierDetector, "_rank", lambda self, key, ejection, member: 0)
+    monkeypatch.setattr(module.OutlierDetector, "_probe_weight", lambda self, key, ejection, member: 0)
     with pytest.raises(AssertionError):
         test_one_member_at_a_time_tries_a_node_that_is_avoided_and_its_answer_brings_it_back()
--- a/tests/tier/test_processes.py
+++ b/tests/tier/test_processes.py
@@ -18,7 +18,7 @@
 from covetally.rig.schedule import Link, Schedule, Step
 from covetally.rig.site import LOAD_CLASSES
 from covetally.rig.world import Shape, World
-from covetally.tier.swim import MessageKind, Message
+from covetally.tier.swim import Message, MessageKind
 from covetally.tier.wire import encode
 
 WAIT_S = 100.0
@@ -323,7 +323,7 @@
     ("lines", "words"),
     [
         (f"[tier]\nmode = 'off'\n[tier.rate_per_s]\n{BRESCIA} = 40", "is off by tier.mode"),
-        ("[tier.rate_per_s]\nofficina-milano = 40", "the platform names no such workshop"),
+        ("[tier.rate_per_s]\nofficina-milano = 40", "the platform names no such tenant"),
         (f"[tier]\nlease_s = 2\ndelay_ms = 900\n[tier.rate_per_s]\n{BRESCIA} = 40", "at least 4.1"),
         (f"[tier.rate_per_s]\n{BRESCIA} = 40\n[workers]\ncount = 2", "each worker would use all"),
         (f"[tier.rate_per_s]\n{BRESCIA} = 0", "a number from 0.001"),
--- a/tests/tier/test_swim.py
+++ b/tests/tier/test_swim.py
@@ -11,11 +11,11 @@
 from covetally.tier.reports import AGE_UNIT_NS, Report, ReportKind, ReportStatus
 from covetally.tier.swim import (
     SECOND,
-    MessageKind,
     LeasePayload,
     Membership,
-    Message,
     MemberUpdate,
+    Message,
+    MessageKind,
     State,
     Timing,
 )
@@ -227,7 +227,8 @@
 
 REPORTS = st.builds(
     Report, st.sampled_from(ReportKind), st.integers(0, 2**32 - 1), st.integers(0, 2**32 - 1),
-    st.sampled_from(ReportStatus), st.integers(0, 255), st.integers(0, 255), st.integers(0, 255).map(lambda units: units * AGE_UNIT_NS),
+    st.sampled_from(ReportStatus), st.integers(0, 255), st.integers(0, 255),
+    st.integers(0, 255).map(lambda units: units * AGE_UNIT_NS),
 )  # fmt: skip
 LEASES = st.builds(
     LeasePayload, st.integers(0, 2**32 - 1), st.integers(0, 2**64 - 1), st.floats(0, 1), st.floats(0, 1e9)
