--- a/covetally/net/frontend.py
+++ b/covetally/net/frontend.py
@@ -21,11 +21,11 @@
 from covetally.net.request_validation import RequestValidator
 from covetally.net.recent_ids import RecentIds
 from covetally.net.invariants import Invariant
-from covetally.net.seams import Claims, Gate, Upgrades
+from covetally.net.extensions import Claims, ConnectionLimiter, UpgradeHandler
 from covetally.net.shutdown_times import times_within
 from covetally.net.sidecar import Sidecar
 from covetally.net.stream import tcp_info
-from covetally.net.system_errors import NEXT_ACCEPT
+from covetally.net.system_errors import RETRY_ACCEPT_ERRORS
 from covetally.net.read_scheduler import ReadScheduler
 
 log = logging.getLogger(__name__)
@@ -80,7 +80,7 @@
         self.drain_stage = DrainStage()
         self._drain_timer: asyncio.TimerHandle | None = None  # for the next stage of an operator's drain
         self.closed: Counter[CloseReason] = Counter()  # closed connections by reason
-        self.gate: Gate | None = None  # enforces connection caps of tenants, if configured
+        self.gate: ConnectionLimiter | None = None  # enforces connection caps of tenants, if configured
         self.retune(settings, limit, body_memory)
         self._clients: dict[ClientConnection, None] = {}
         self._eviction = EvictionOrder()
@@ -92,7 +92,7 @@
         self._accepting = False
         self._no_clients = asyncio.Event()
         self.shed_requests = 0  # requests refused without being parsed
-        self.upgrades: Upgrades | None = None
+        self.upgrades: UpgradeHandler | None = None
         self.read_scheduler = ReadScheduler(sidecar)
 
     def retune(self, settings: Settings, limit: int, body_memory: int) -> None:
@@ -155,7 +155,7 @@
         except BlockingIOError:
             return NONE_WAITING
         except OSError as error:
-            if error.errno in NEXT_ACCEPT:
+            if error.errno in RETRY_ACCEPT_ERRORS:
                 return FAILED
             # The listener stays readable: without a pause the event loop would spin on it and serve nothing else.
             log.warning("cannot accept: %s", error)
@@ -335,7 +335,7 @@
         self.drain_stage.start_shutdown()
         if self._drain_timer is not None:
             self._drain_timer.cancel()
-        self.sidecar.end_by(answered_by)
+        self.sidecar.shut_down_by(answered_by)
         # Idle connections are closed early: a client whose request crosses the close retries it and finds the
         # listener open. New connections are kept, since their first request is on its way.
         self._close_silent(self._eviction.idle)
--- a/covetally/tier/wire.py
+++ b/covetally/tier/wire.py
@@ -40,7 +40,11 @@
 
 
 class MalformedDatagramError(DamagedError, ValueError):
-    """A datagram that is not a message in this format."""
+    """Bytes that are no message of this table.
+
+    Raised by `decode` for a datagram that is not a message in this format. The paragraph above and the remedy are
+    printed in docs/operators/errors.md (see covetally/errors/page.py).
+    """
 
     code = "datagram"
     remedy = "See that only sidecars of this tier send to peer_listen; it is dropped."
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -116,7 +116,7 @@
     ) -> None:
         entries = [(ServerEntry(name, lifecycle=lifecycle), server.address) for name, server in servers.items()]
         self.upstream.update(entries, scope == "FULL")
-        self.sidecar.directory(ServerListUpdate(scope, tuple(entry for entry, _ in entries)))
+        self.sidecar.update_servers(ServerListUpdate(scope, tuple(entry for entry, _ in entries)))
 
     async def connect(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
         return await asyncio.open_connection(*self.address)
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -63,7 +63,7 @@
             status = await harness.status(data)
             assert 400 <= status < 600, name
             assert not harness.servers["s0"].requests, "nothing of it may be forwarded"
-            assert harness.sidecar._taken == 0
+            assert harness.sidecar._accepted == 0
             assert await harness.status(request("after")) == 200
 
     asyncio.run(main())
