--- a/tests/tier/test_limits.py
+++ b/tests/tier/test_limits.py
@@ -1,4 +1,4 @@
-"""Limits held by a tier: never over, whatever happens; what lies unused when links are well; planted faults."""
+"""Limits shared by a tier: never exceeded under faults, little unused on good links, and injected faults."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 CUT = Link(cut=True)
 
 
-def over(rule: Rule, seeds: range) -> list[int]:
-    """Seeds of schedules by which a limit was overstepped."""
+def seeds_over_limit(rule: Rule, seeds: range) -> list[int]:
+    """The seeds whose schedules exceeded the limit."""
     return [seed for seed in seeds
             if play(draw(seed, rule.members, SECONDS, rule.amount), seed, rule, SECONDS).over > 1e-6]  # fmt: skip
 
 
 @pytest.mark.parametrize("rule", [RULE, CALLS], ids=lambda rule: rule.name)
-def test_drawn_schedules_never_take_a_tier_over_its_limit_and_leave_no_more_unused_than_stated(rule):
+def test_random_fault_schedules_never_exceed_the_limit_and_leave_little_unused(rule):
     for seed in range(12):
         schedule = draw(seed, rule.members, SECONDS, rule.amount)
         found = play(schedule, seed, rule, SECONDS)
@@ -45,16 +45,16 @@
     return tier.nodes[number].usable(tier.time(number))[rule.name].amount
 
 
-def test_traffic_that_moves_in_a_second_takes_its_share_along():
+def test_quota_follows_traffic_to_another_member_within_seconds():
     tier = tier_of(RULE)
     tier.demand = {0: 60.0}
     assert tier.run(5, lambda: usable(tier, 0) >= 60.0) < 5
     tier.demand = {3: 60.0}
     passed = tier.run(10, lambda: usable(tier, 3) >= 60.0)
-    assert passed < 1.5, passed  # a look, the datagrams, and some Wants; no lease has to run out
+    assert passed < 1.5, passed  # a check, the datagrams and some requests; no lease has to expire
 
 
-def test_one_cut_from_all_falls_back_to_its_own_part_within_a_lease():
+def test_a_partitioned_member_falls_back_to_its_own_quota_within_a_lease():
     tier = tier_of(RULE)
     tier.demand = {0: 90.0}
     tier.run(5)
@@ -63,7 +63,7 @@
     assert usable(tier, 0) == pytest.approx(RULE.quota)
 
 
-def test_a_holder_that_was_stopped_for_longer_than_its_share_lasts_notices_at_its_next_look():
+def test_a_borrower_that_was_stopped_beyond_its_lease_no_longer_uses_the_loan():
     tier = tier_of(RULE)
     tier.demand = {0: 90.0}
     tier.run(5)
@@ -72,11 +72,11 @@
     tier.stop(0)
     tier.run(5)
     assert usable(tier, 0) == pytest.approx(RULE.quota) and held > RULE.quota
-    # The balancer was told until when, and what it has then: nothing has to run for it to notice.
+    # The balancer knows when the loan expires and what it may use then, so no code has to run for that.
     assert usable_quota.until_ns <= tier.time(0) and usable_quota.fallback == pytest.approx(RULE.quota)
 
 
-def test_a_limit_lowered_for_some_is_held_by_each_as_it_was_told():
+def test_a_limit_lowered_for_some_members_is_enforced_by_each_as_configured():
     tier = tier_of(RULE)
     lower = Rule("rate", 40.0, 6)
     for number in (0, 1, 2):
@@ -91,8 +91,8 @@
 
 @given(st.lists(STEPS, max_size=60))
 @settings(max_examples=300)
-def test_any_order_loss_and_repetition_keeps_three_members_within_the_limit(steps):
-    """Against a plain model that sees everything: the sum of what all may use."""
+def test_reordered_lost_and_repeated_messages_keep_three_members_within_the_limit(steps):
+    """Compares the sum of what all members may use with the limit."""
     rule = Rule("x", 90.0, 3)
     now = 100 * SECOND
     quotas = [MemberQuota(rule, 0, 1) for _ in range(3)]
@@ -104,7 +104,7 @@
             now += wait
             if (request := quotas[number].tick(now, figure)) is not None:
                 requests.append((number, boot_ids[number], request))
-        elif what == "w" and requests:  # any one that was ever sent, to any of the others, again or late
+        elif what == "w" and requests:  # any request so far, to any other member, repeated or late
             sender, boot_id, request = requests[wait % len(requests)]
             if (
                 sender != number
@@ -113,7 +113,7 @@
                 grants.append((sender, number, grant))
         elif what == "g" and grants:
             to, lender, grant = grants[wait % len(grants)]
-            quotas[to].handle_grant(now, lender, grant)  # one for a life before, too
+            quotas[to].handle_grant(now, lender, grant)  # also one for an earlier process
         elif what == "t":
             now += wait
         elif what == "r":
@@ -122,7 +122,7 @@
         assert sum(quota.usable(now).amount for quota in quotas) <= 90.0 * (1 + 1e-9)
 
 
-def test_a_liar_takes_what_nobody_uses_and_no_more():
+def test_an_excessive_request_gets_only_what_the_lender_does_not_need():
     quota = MemberQuota(RULE, 0, 1)
     now = 100 * SECOND
     quota.tick(now, RULE.quota / 2)
@@ -132,14 +132,14 @@
     assert quota.retained(now) >= RESERVED_FRACTION * RULE.quota
     assert (
         MemberQuota(RULE, now, 2).handle_request(now, 5, 1, LeaseRequest(1, 1.0, 1e9)) is None
-    )  # it does not know what it lent before
-    quota.tick(now, RULE.quota)  # it needs its own again: the loan is not renewed
+    )  # what it lent before the restart is unknown
+    quota.tick(now, RULE.quota)  # the lender needs its quota again: the loan is not renewed
     assert quota.handle_request(now + 1, 5, 1, LeaseRequest(2, 1.0, 0.0)) is None
     quota.handle_grant(now, 3, Grant(1, 1e9))
     assert quota.borrowed(now) == 0.0
 
 
-def test_a_schedule_is_the_same_from_its_file_and_a_failing_one_is_shrunk(tmp_path):
+def test_a_schedule_is_read_back_from_its_file_and_a_failing_one_is_shrunk(tmp_path):
     schedule = next(s for s in (draw(n, 6, SECONDS, 100.0) for n in range(99)) if any(x.do == "kill" for x in s))
     save(schedule, tmp_path / "s.jsonl")
     assert load(tmp_path / "s.jsonl") == schedule
@@ -151,22 +151,24 @@
         load(tmp_path / "bad")
 
 
-# --- planted faults: what the checker above would not let pass -----------------------------------
+# --- injected faults that the checker above must detect ------------------------------------------
 
 
 def late_grant() -> float:
-    """A Grant is on its way while its borrower ends; the next life asks, too, and has it then. Found by seed 73
-    of `python -m benchmarks.limits`, by which six members went over by 12.5 %."""
+    """A Grant is in transit while its borrower restarts; the new process sends a request, then receives it.
+
+    Found by seed 73 of `python -m benchmarks.limits`, in which six members exceeded the limit by 12.5 %.
+    """
     rule, now = Rule("x", 90.0, 3), 100 * SECOND
     lender, borrower = MemberQuota(rule, 0, 1), MemberQuota(rule, 0, 2)
     grant = lender.handle_request(now, 0, 2, borrower.tick(now, 60.0))
     again = MemberQuota(rule, now + SECOND, 3)
     assert again.tick(now + 4 * SECOND, 60.0) is not None
-    again.handle_grant(now + 5 * SECOND, 1, grant)  # within its own lease, and past the lender's
+    again.handle_grant(now + 5 * SECOND, 1, grant)  # within the new process's lease, but past the lender's
     return again.borrowed(now + 5 * SECOND)
 
 
-def test_a_grant_for_the_life_before_is_not_taken(monkeypatch):
+def test_a_grant_for_an_earlier_process_is_ignored(monkeypatch):
     assert late_grant() == 0.0
     original_init = MemberQuota.__init__
     monkeypatch.setattr(
@@ -175,38 +177,38 @@
     assert late_grant() > 0.0
 
 
-def test_a_share_used_after_it_lapsed_is_found(monkeypatch):
+def test_the_use_of_an_expired_loan_is_detected(monkeypatch):
     monkeypatch.setattr(MemberQuota, "borrowed", lambda self, now: sum(b.amount for b in self._borrowed.values()))
-    assert over(RULE, range(6))
+    assert seeds_over_limit(RULE, range(6))
 
 
-def test_a_lender_that_begins_anew_without_waiting_is_found(monkeypatch):
+def test_a_lender_that_restarts_without_waiting_is_detected(monkeypatch):
     original_init = MemberQuota.__init__
 
-    def careless(self, rule, now, boot_id):
+    def faulty(self, rule, now, boot_id):
         original_init(self, rule, now, boot_id)
         self.hold_until = now
 
     schedule = (Step(9, "demand", (0,), amount=90.0), Step(14, "kill", (3,)), Step(14.1, "start", (3,)))
     assert play(schedule, 1, RULE, 20).over == 0.0
-    monkeypatch.setattr(MemberQuota, "__init__", careless)
+    monkeypatch.setattr(MemberQuota, "__init__", faulty)
     assert play(schedule, 1, RULE, 20).over > 0.1
 
 
-def test_a_lender_that_takes_its_part_back_too_soon_is_found(monkeypatch):
+def test_a_lender_that_reuses_a_loan_too_early_is_detected(monkeypatch):
     monkeypatch.setattr(Rule, "hold_ns", property(lambda self: self.lease_ns // 2))
-    assert over(RULE, range(6))
+    assert seeds_over_limit(RULE, range(6))
 
 
-def test_a_grant_older_than_the_last_lowering_is_found(monkeypatch):
-    """Fault: a borrower that takes any Grant. Found by the plain model, in the order that it takes."""
+def test_accepting_a_grant_from_before_the_last_reduction_is_detected(monkeypatch):
+    """Fault: a borrower that accepts any Grant. The test of reordered messages found this sequence."""
     handle_grant = MemberQuota.handle_grant
 
-    def careless(self, now, lender, grant):
+    def faulty(self, now, lender, grant):
         self._last_reduction = 0
         handle_grant(self, now, lender, grant)
 
-    def play_it() -> float:
+    def run_sequence() -> float:
         rule = Rule("x", 90.0, 3)
         a, b, now = MemberQuota(rule, 0, 0), MemberQuota(rule, 0, 0), 100 * SECOND
         first = a.tick(now, 60.0)
@@ -217,7 +219,7 @@
         a.handle_grant(now + SECOND, 1, grant)
         return a.usable(now + SECOND).amount + b.usable(now + SECOND).amount
 
-    assert play_it() <= 60.0 + 1e-9
-    monkeypatch.setattr(MemberQuota, "handle_grant", careless)
-    assert play_it() > 60.0
+    assert run_sequence() <= 60.0 + 1e-9
+    monkeypatch.setattr(MemberQuota, "handle_grant", faulty)
+    assert run_sequence() > 60.0
     assert module.MAX_CLOCK_DRIFT > 0
--- a/tests/tier/test_outlier_detection.py
+++ b/tests/tier/test_outlier_detection.py
@@ -1,4 +1,4 @@
-"""What a tier makes of its nodes: the failures it is for, liars and bad links, trials in turn; planted faults."""
+"""Outlier detection across a tier: dead nodes, false reports, bad links, probes; and injected faults."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
     return calls
 
 
-def test_a_dead_node_is_known_to_members_that_never_called_it_and_no_other_node_is_avoided():
+def test_a_dead_node_is_ejected_by_members_that_never_called_it_and_no_other_node_is():
     calls = settled()
     calls.down = {"n4"}
     callers: set[int] = set()
@@ -45,21 +45,21 @@
     assert {a.server for n in calls.tier.nodes for a in calls.advice(n).servers} == {"n4"}
 
 
-def test_one_member_at_a_time_tries_a_node_that_is_avoided_and_its_answer_brings_it_back():
+def test_one_member_at_a_time_probes_an_ejected_node_and_a_success_restores_it():
     calls = settled()
     calls.down = {"n4"}
     calls.run(20)
     times = [at for at, _, _ in calls.trials]
     assert len(times) >= 3
     assert all(b - a >= PROBE_SLOT_NS / SECOND for a, b in zip(times, times[1:], strict=False)), times
-    assert len({member for _, member, _ in calls.trials}) > 1  # the turn passes on
+    assert len({member for _, member, _ in calls.trials}) > 1  # the turn passes to other members
     calls.down = set()
     assert calls.run(20, lambda: calls.avoiding("n4") == 0.0) < 20
-    # Its process had ended: all are told that it is a new one, so that it is not pushed over while it is cold.
+    # Its process had ended, so all balancers learn that it is a new one and apply slow start.
     assert sum(bool(calls.advice(n).restarted) for n in calls.tier.nodes) == 12
 
 
-def test_the_turn_passes_on_when_those_whose_it_is_are_stopped_or_gone():
+def test_probing_continues_when_the_members_whose_turn_it_is_are_stopped():
     calls = settled(seed=3)
     calls.down = {"n4"}
     calls.run(2)
@@ -70,7 +70,7 @@
     assert len(calls.trials) > before
 
 
-def test_one_bad_zone_link_convicts_a_well_node_for_that_zone_alone():
+def test_a_node_unreachable_from_one_zone_is_ejected_in_that_zone_only():
     calls = settled(size=15)
     bad = AttemptStatus.CONNECT_FAILED
     calls.fate = lambda member, node, cls: bad if node == "n4" and member % 3 == 2 else AttemptStatus.OK
@@ -79,18 +79,18 @@
     assert not any(calls.advice(n).servers for n in (*members(calls, 0), *members(calls, 1)))
 
 
-def test_a_zone_that_is_silent_for_another_is_avoided_there_and_by_nobody_else():
+def test_a_zone_that_does_not_answer_another_zone_is_avoided_in_that_zone_only():
     calls = settled(size=15)
-    cut = (  # noqa: E731
+    fate = (  # noqa: E731
         lambda n, node, cls: AttemptStatus.TIMEOUT if n % 3 == 0 and int(node[1:]) % 3 == 1 else AttemptStatus.OK
     )
-    calls.fate = cut
+    calls.fate = fate
     calls.run(4)
     assert all(calls.advice(n).zones == (1,) for n in members(calls, 0))
     assert not any(calls.advice(n).zones for n in (*members(calls, 1), *members(calls, 2)))
 
 
-def test_one_sidecars_bad_link_to_all_nodes_takes_nobody_out():
+def test_one_sidecar_with_a_bad_link_to_all_nodes_ejects_none():
     calls = settled()
     calls.fate = lambda member, node, cls: AttemptStatus.TIMEOUT if member == 0 else AttemptStatus.OK
     for _ in range(20):
@@ -98,7 +98,7 @@
         assert not any(calls.advice(n).servers for n in calls.tier.nodes)
 
 
-def test_a_node_that_fails_one_class_is_avoided_for_that_class():
+def test_a_node_that_fails_one_class_is_ejected_for_that_class_only():
     calls = settled(classes=3)
     calls.fate = lambda member, node, cls: AttemptStatus.ERROR if node == "n4" and cls == 2 else AttemptStatus.OK
     assert calls.run(10, lambda: calls.avoiding("n4", 2) >= 0.9) < 10
@@ -107,9 +107,11 @@
 
 
 @pytest.mark.parametrize("liars", [1, 2, 4])
-def test_liars_that_call_every_node_bad_take_none_out_for_long(liars):
-    """Up to a third of all: their words are outweighed by who calls the nodes and is answered, all but a tenth of
-    the time."""
+def test_false_failure_reports_on_every_node_eject_none_for_long(liars):
+    """Up to a third of all members report falsely.
+
+    The healthy reports of members whose calls are answered outweigh theirs, for at least nine tenths of the time.
+    """
     calls = settled(size=12, seed=5)
     calls.liars = {number: tuple(calls.zone_of) for number in range(liars)}
     avoided = []
@@ -122,7 +124,7 @@
     assert sum(avoided) <= 0.1 * 12 * len(avoided), avoided
 
 
-def test_a_share_of_the_nodes_at_most_is_avoided_however_many_are_dead():
+def test_the_ejected_fraction_is_bounded_however_many_nodes_are_dead():
     calls = settled()
     calls.down = {f"n{i}" for i in range(0, 12, 2)}
     calls.run(5)
@@ -130,7 +132,7 @@
         assert len({a.server for a in calls.advice(number).servers}) <= MAX_EJECTED_FRACTION * 12
 
 
-def test_halves_that_are_cut_from_each_other_reach_their_own_verdicts_and_agree_when_healed():
+def test_partitioned_halves_eject_independently_and_agree_after_healing():
     calls = settled()
     half, other = tuple(range(6)), tuple(range(6, 12))
     calls.play((Step(0, "link", half, other, CUT), Step(0, "link", other, half, CUT)), 0.5)
@@ -147,18 +149,18 @@
 
 @pytest.mark.parametrize(
     "link", [Link(lose=0.5), Link(twice=1.0), Link(delay_s=(0.0, 2.0)), Link(flap_s=1.0)],
-    ids=["half lost", "all twice", "out of order", "flapping"],
+    ids=["half lost", "all duplicated", "out of order", "flapping"],
 )  # fmt: skip
-def test_on_bad_links_a_dead_node_is_found_and_no_well_one(link):
+def test_over_bad_links_a_dead_node_is_ejected_and_no_healthy_one(link):
     calls = settled()
-    everybody = tuple(range(12))
-    calls.play((Step(0, "link", everybody, everybody, link),), 0.1)
+    all_members = tuple(range(12))
+    calls.play((Step(0, "link", all_members, all_members, link),), 0.1)
     calls.down = {"n4"}
     assert calls.run(15, lambda: calls.avoiding("n4") >= 0.9) < 15
     assert {a.server for n in calls.tier.nodes for a in calls.advice(n).servers} == {"n4"}
 
 
-def test_seven_in_ten_that_come_back_with_nothing_learn_the_verdict_again():
+def test_members_that_restart_without_state_learn_the_ejection_again():
     calls = settled()
     calls.down = {"n4"}
     calls.run(3)
@@ -166,7 +168,7 @@
     assert calls.run(15, lambda: calls.avoiding("n4") == 1.0) < 15
 
 
-def test_a_verdict_ends_when_nobody_says_anything_any_more():
+def test_an_ejection_ends_when_all_reports_have_expired():
     calls = settled()
     calls.down = {"n4"}
     calls.run(2)
@@ -175,74 +177,74 @@
     assert all(calls.advice(n) == Ejections() for n in calls.tier.nodes)
 
 
-WORDS = st.lists(
+REPORTS = st.lists(
     st.tuples(st.integers(1, 4), st.sampled_from(ReportKind), st.integers(0, 3), st.integers(1, 40),
               st.sampled_from(ReportStatus), st.integers(0, 2)),
     max_size=40, unique_by=lambda w: (w[0], w[3]),
 )  # fmt: skip
 
 
-@given(WORDS, st.randoms(use_true_random=False))
+@given(REPORTS, st.randoms(use_true_random=False))
 @settings(max_examples=200)
-def test_order_repeats_and_losses_do_not_matter_to_facts(reports, order):
-    """Against a plain model: of one owner and subject the word with the greatest counter."""
-    known = ReportStore(0, 0)
+def test_reports_do_not_depend_on_order_or_repetition(reports, order):
+    """Compares with a simple model: of one owner and subject, the report with the highest counter counts."""
+    store = ReportStore(0, 0)
     received = reports + [w for w in reports if order.random() < 0.5]
     order.shuffle(received)
     for owner, kind, subject, counter, status, detail in received:
-        known.receive(SECOND, owner, 7, 1, (Report(kind, subject, counter, status, detail, 0),))
+        store.receive(SECOND, owner, 7, 1, (Report(kind, subject, counter, status, detail, 0),))
     for kind in ReportKind:
         for subject in range(4):
             model = {}
             for owner, about_kind, about, _, status, detail in sorted(reports, key=lambda w: w[3]):
                 if (about_kind, about) == (kind, subject):
                     model[owner, detail] = status
-            found = {(s.owner, s.report.detail): s.report.status for s in known.find(SECOND, kind, subject)}
+            found = {(s.owner, s.report.detail): s.report.status for s in store.find(SECOND, kind, subject)}
             assert found == model
-    assert not any(known.find(SECOND + REPORT_LIFETIME_NS, kind, n) for kind in ReportKind for n in range(4))
+    assert not any(store.find(SECOND + REPORT_LIFETIME_NS, kind, n) for kind in ReportKind for n in range(4))
 
 
-def test_words_of_a_life_before_do_not_come_back():
-    known = ReportStore(0, 0)
+def test_delayed_reports_of_an_earlier_process_are_ignored():
+    store = ReportStore(0, 0)
     report = Report(ReportKind.SERVER, 5, 9, ReportStatus.FAILING, 0, 0)
-    known.receive(1, 3, 111, 1, (report,))
-    known.receive(2, 3, 222, 2, (report._replace(counter=1, status=ReportStatus.HEALTHY),))
-    known.receive(3, 3, 111, 1, (report._replace(counter=10),))
-    assert [s.report.status for s in known.find(4, ReportKind.SERVER, 5)] == [ReportStatus.HEALTHY]
+    store.receive(1, 3, 111, 1, (report,))
+    store.receive(2, 3, 222, 2, (report._replace(counter=1, status=ReportStatus.HEALTHY),))
+    store.receive(3, 3, 111, 1, (report._replace(counter=10),))
+    assert [s.report.status for s in store.find(4, ReportKind.SERVER, 5)] == [ReportStatus.HEALTHY]
 
 
 @given(st.integers(0, 2**32))
 @settings(max_examples=10)
-def test_members_that_know_the_same_agree_on_whose_turn_it_is(seed):
+def test_members_with_the_same_information_agree_on_the_order_of_probes(seed):
     rng = random.Random(seed)
     key, probed_by = (rng.getrandbits(32), -1), rng.randrange(-1, 8)
     orders = []
     for me in range(8):
-        one = module.OutlierDetector(ReportStore(me, 0), ("a",), rng.random, lambda: list(range(8)))
+        detector = module.OutlierDetector(ReportStore(me, 0), ("a",), rng.random, lambda: list(range(8)))
         ejection = module._Ejection(0, 0, probed_by=probed_by)
-        orders.append(one._next_probe(key, ejection))
-    assert len(set(orders)) == 8  # no two at a time, a turn apart
+        orders.append(detector._next_probe(key, ejection))
+    assert len(set(orders)) == 8  # no two at the same time
     assert all(abs(a - b) >= PROBE_SLOT_NS for a in orders for b in orders if a != b)
 
 
-# --- planted faults ------------------------------------------------------------------------------
+# --- injected faults -----------------------------------------------------------------------------
 
 
-def test_a_verdict_without_age_is_found(monkeypatch):
+def test_reports_that_never_expire_are_detected(monkeypatch):
     for part in (reports_module, module):
         monkeypatch.setattr(part, "REPORT_LIFETIME_NS", 3600 * SECOND)
     with pytest.raises(AssertionError):
-        test_a_verdict_ends_when_nobody_says_anything_any_more()
+        test_an_ejection_ends_when_all_reports_have_expired()
 
 
-def test_a_liars_weight_without_bound_is_found(monkeypatch):
+def test_an_unbounded_weight_of_one_reporter_is_detected(monkeypatch):
     monkeypatch.setattr(module, "MIN_REPORTERS", 1)
     monkeypatch.setattr(module, "HEALTHY_REPORT_WEIGHT", 0)
     with pytest.raises(AssertionError):
-        test_liars_that_call_every_node_bad_take_none_out_for_long(1)
+        test_false_failure_reports_on_every_node_eject_none_for_long(1)
 
 
-def test_trials_that_all_make_at_once_are_found(monkeypatch):
+def test_simultaneous_probes_by_all_members_are_detected(monkeypatch):
     monkeypatch.setattr(module.OutlierDetector, "_probe_weight", lambda self, key, ejection, member: 0)
     with pytest.raises(AssertionError):
-        test_one_member_at_a_time_tries_a_node_that_is_avoided_and_its_answer_brings_it_back()
+        test_one_member_at_a_time_probes_an_ejected_node_and_a_success_restores_it()
--- a/tests/tier/test_processes.py
+++ b/tests/tier/test_processes.py
@@ -1,4 +1,4 @@
-"""Sidecars of a tier as real processes, with faults between them: who is there, limits, verdicts, garbage."""
+"""Sidecars of a tier as real processes, with faults between them: membership, limits, outlier detection."""
 
 from __future__ import annotations
 
@@ -21,24 +21,26 @@
 from covetally.tier.swim import Message, MessageKind
 from covetally.tier.wire import encode
 
-WAIT_S = 100.0
+TEST_TIMEOUT_S = 100.0
 SIZE = 5
 ALL = tuple(range(SIZE))
 CUT = Link(cut=True)
-BRESCIA = "officina-brescia"
+TENANT = "officina-brescia"
 RATE, BURST_S = 40.0, 1.0
-HELD_S = 0.6  # the longest aim: no call is held for longer before it is sent
-LIMITED = f"heartbeat_s = 0.5\n[tier]\nlease_s = 2\nburst_s = {BURST_S}\n[tier.rate_per_s]\n{BRESCIA} = {RATE}\n"
-COUNTED = f"heartbeat_s = 0.5\n[tier]\nlease_s = 2\n[tier.in_flight]\n{BRESCIA} = 10\n"
+MAX_QUEUED_S = 0.6  # the longest aim: no call is queued for longer before it is sent
+RATE_LIMIT = (
+    f"heartbeat_s = 0.5\n[tier]\nlease_s = 2\nburst_s = {BURST_S}\n[tier.rate_per_s]\n{TENANT} = {RATE}\n"
+)
+IN_FLIGHT_LIMIT = f"heartbeat_s = 0.5\n[tier]\nlease_s = 2\n[tier.in_flight]\n{TENANT} = 10\n"
 
 
-PLAIN = "heartbeat_s = 0.5\n[tier]\nmode = 'on'\n"
+TIER_ON = "heartbeat_s = 0.5\n[tier]\nmode = 'on'\n"
 
 
-def run(main, control: str = PLAIN, **shape) -> None:
+def run(main, control: str = TIER_ON, **shape) -> None:
     async def timed():
         world = Managed(Shape(nodes=6, instances=SIZE, peers=True, **shape), control=control)
-        async with asyncio.timeout(WAIT_S):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             async with world:
                 await world.start_agent()
                 await world.start_instances()
@@ -54,141 +56,150 @@
     return found
 
 
-Holds = Callable[[dict[str, dict]], bool]
+Condition = Callable[[dict[str, dict]], bool]
 
 
-async def until(world: Managed, faults: Faults, holds: Holds) -> None:
+async def wait_until(world: Managed, faults: Faults, condition: Condition) -> None:
     try:
         async with asyncio.timeout(45):
-            while not holds(await tables(world, faults)):
+            while not condition(await tables(world, faults)):
                 await asyncio.sleep(0.2)
     except TimeoutError:
-        pytest.fail(f"it never held: {faults.history[-1]}")
+        pytest.fail(f"the condition was never met: {faults.history[-1]}")
 
 
 def all_alive(found: dict[str, dict]) -> bool:
     return len(found) == SIZE and not agree(found.values(), dict.fromkeys(ALL, "alive"))
 
 
-def seen(member: int, state: str, by: int) -> Holds:
-    def holds(found: dict[str, dict]) -> bool:
+def all_see(member: int, state: str, by: int) -> Condition:
+    def condition(found: dict[str, dict]) -> bool:
         others = [t for t in found.values() if t["member"] != member]
         return len(others) >= by and not agree(others, {member: state})
 
-    return holds
+    return condition
 
 
-def test_members_that_end_are_killed_stopped_and_started_anew_are_seen_as_what_they_are():
+def test_members_that_leave_are_killed_paused_or_restarted_are_shown_in_that_state():
     async def main(world: Managed, faults: Faults) -> None:
-        await until(world, faults, all_alive)
+        await wait_until(world, faults, all_alive)
         life = (await tables(world, faults))["a1"]["life"]
         await faults.play((Step(0, "kill", (1,)), Step(0, "leave", (2,)), Step(0, "stop", (3,))))
         for member, state in ((2, "left"), (1, "gone"), (3, "gone")):
-            await until(world, faults, seen(member, state, 2))
+            await wait_until(world, faults, all_see(member, state, 2))
         await faults.play((Step(0, "start", (1, 2)), Step(0, "go_on", (3,))))
-        await until(world, faults, all_alive)
+        await wait_until(world, faults, all_alive)
         assert {t["members"][1]["life"] for t in (await tables(world, faults)).values()} != {life}
 
     run(main)
 
 
-def planned(seconds: float, where: Callable[[float], int], rate: float = 70.0, seed: int = 1) -> list[Planned]:
-    """Calls of one workshop, of the class that may be repeated, to the member that `where` names at a time."""
+def plan_calls(seconds: float, where: Callable[[float], int], rate: float = 70.0, seed: int = 1) -> list[Planned]:
+    """Calls of one tenant and a repeatable class, each to the member that `where` returns for its time."""
     rng, at, calls = random.Random(seed), 0.0, []
     while (at := at + rng.expovariate(rate)) < seconds:
-        calls.append(Planned(at, LOAD_CLASSES[0], BRESCIA, f"m{len(calls)}", f"a{where(at)}"))
+        calls.append(Planned(at, LOAD_CLASSES[0], TENANT, f"m{len(calls)}", f"a{where(at)}"))
     return calls
 
 
-def load_of(world: Managed) -> Load:
-    plan = Plan(LOAD_CLASSES, {BRESCIA: 1.0}, tuple(world.instances), 1.0, 1.0, retries=0)
+def create_load(world: Managed) -> Load:
+    plan = Plan(LOAD_CLASSES, {TENANT: 1.0}, tuple(world.instances), 1.0, 1.0, retries=0)
     return Load(world.account, {n: i.address for n, i in world.instances.items()}, plan, world.alive)
 
 
 HALVES = ((0, 1), (2, 3, 4))
 FAULTS: dict[str, Schedule] = {
     "well": (),
-    "halves cut and healed": (
+    "halves partitioned and healed": (
         Step(2, "link", HALVES[0], HALVES[1], CUT), Step(2, "link", HALVES[1], HALVES[0], CUT), Step(7, "heal"),
     ),
     "one way only": (Step(2, "link", HALVES[0], HALVES[1], CUT), Step(7, "heal")),
-    "one from all, flapping": (
+    "links of one member flapping": (
         Step(2, "link", (0,), ALL, Link(flap_s=1.0)), Step(2, "link", ALL, (0,), Link(flap_s=1.0)),
     ),
-    "half lost, twice, out of order": (Step(1, "link", ALL, ALL, Link(lose=0.5, twice=0.5, delay_s=(0.0, 0.8))),),
+    "half lost, duplicated, reordered": (
+        Step(1, "link", ALL, ALL, Link(lose=0.5, twice=0.5, delay_s=(0.0, 0.8))),
+    ),
     "five seconds late": (Step(1, "link", ALL, ALL, Link(delay_s=(5.0, 5.02))),),
-    "the holder stopped for longer than its share lasts": (Step(4, "stop", (0,)), Step(7, "go_on", (0,))),
-    "the holder killed and back": (Step(4, "kill", (0,)), Step(4.5, "start", (0,))),
-    "most killed and back with nothing": (Step(4, "kill", (1, 2, 3)), Step(4.5, "start", (1, 2, 3))),
+    "borrower stopped beyond its lease": (Step(4, "stop", (0,)), Step(7, "go_on", (0,))),
+    "borrower killed and restarted": (Step(4, "kill", (0,)), Step(4.5, "start", (0,))),
+    "most killed and restarted without state": (Step(4, "kill", (1, 2, 3)), Step(4.5, "start", (1, 2, 3))),
 }  # fmt: skip
 
 
 @pytest.mark.parametrize("name", FAULTS)
-def test_a_workshops_rate_is_held_by_all_together_under(name):
-    """Its calls come to one sidecar, then within a second to another, at nearly twice what is allowed."""
+def test_the_rate_limit_of_a_tenant_is_enforced_across_the_tier_under(name):
+    """All calls go to one sidecar, then from one moment to another, at nearly twice the allowed rate."""
 
     async def main(world: Managed, faults: Faults) -> None:
-        await until(world, faults, lambda t: not any(limit["young"] for x in t.values() for limit in x["limits"]))
-        load = load_of(world)
-        calls = planned(12.0, lambda at: 0 if at < 6 else 4)
+        await wait_until(
+            world, faults, lambda t: not any(limit["young"] for x in t.values() for limit in x["limits"])
+        )
+        load = create_load(world)
+        calls = plan_calls(12.0, lambda at: 0 if at < 6 else 4)
         await asyncio.gather(load.play(calls), faults.play(FAULTS[name]))
         verdict = world.account.judge()
-        times = admitted(world.account, BRESCIA)
-        over, at = over_rate(times, RATE, max(SIZE, RATE * BURST_S), HELD_S)
+        times = admitted(world.account, TENANT)
+        over, at = over_rate(times, RATE, max(SIZE, RATE * BURST_S), MAX_QUEUED_S)
         assert over <= 0, f"{name}: over by {over:.1f}: {faults.history[:-1]}"
-        # A process that was stopped cannot answer meanwhile; nothing else may be lost, and nothing there twice.
+        # A stopped process cannot answer meanwhile. No other call may be lost, and none may arrive twice.
         stopped = {f"a{n}" for step in FAULTS[name] if step.do == "stop" for n in step.members}
         breaks = [b for b in verdict.breaks if (b.rule, b.instance in stopped) != ("lost", True)]
         assert not breaks, breaks[:3]
         assert verdict.refused > 0
-        if name == "well":  # and what is allowed is had, but for the kept parts and the moves
+        if name == "well":  # most of the limit is used, except for reserved fractions and the move
             assert len(times) >= 0.5 * RATE * 12, len(times)
 
-    run(main, LIMITED)
+    run(main, RATE_LIMIT)
 
 
-def test_calls_in_flight_are_held_by_all_together_while_links_are_cut_and_sidecars_stop():
+def test_a_limit_on_calls_in_flight_is_enforced_while_links_are_cut_and_sidecars_stop():
     async def main(world: Managed, faults: Faults) -> None:
         for node in world.nodes:
             world.mood(node, slow=4.0)
-        load = load_of(world)
+        load = create_load(world)
         schedule = (
             Step(2, "link", HALVES[0], HALVES[1], CUT), Step(3, "stop", (1,)), Step(6, "go_on", (1,)),
             Step(7, "heal"), Step(8, "kill", (2,)), Step(8.5, "start", (2,)),
         )  # fmt: skip
-        await asyncio.gather(load.play(planned(12.0, lambda at: int(at) % SIZE, 100.0)), faults.play(schedule))
-        assert 0 < most_at_once(world.account, BRESCIA) <= 10, faults.history
-        assert not [b for b in world.account.judge().breaks if b.instance != "a1"]  # which was stopped
+        await asyncio.gather(load.play(plan_calls(12.0, lambda at: int(at) % SIZE, 100.0)), faults.play(schedule))
+        assert 0 < most_at_once(world.account, TENANT) <= 10, faults.history
+        assert not [b for b in world.account.judge().breaks if b.instance != "a1"]  # a1 was stopped
 
-    run(main, COUNTED)
+    run(main, IN_FLIGHT_LIMIT)
 
 
-def test_a_node_that_died_is_avoided_by_sidecars_that_never_called_it_and_tried_by_one_at_a_time():
+def test_a_dead_node_is_ejected_by_sidecars_that_never_called_it_and_probed_by_one_at_a_time():
     async def main(world: Managed, faults: Faults) -> None:
-        load = load_of(world)
-        calls = planned(14.0, lambda at: int(at * 50) % 3, 150.0)  # to three of the five
+        load = create_load(world)
+        calls = plan_calls(14.0, lambda at: int(at * 50) % 3, 150.0)  # to three of the five
         playing = asyncio.create_task(load.play(calls))
         await asyncio.sleep(2)
         await world.kill_node("n2")
-        await until(world, faults, lambda t: len(t) == SIZE and all(
+        await wait_until(world, faults, lambda t: len(t) == SIZE and all(
             any(v["of"] == "n2" and v["avoided"] for v in x["verdicts"]) for x in t.values()))  # fmt: skip
         found = await tables(world, faults)
         assert all(v["of"] == "n2" for t in found.values() for v in t["verdicts"] if v["avoided"])
-        await until(world, faults, lambda t: sum(x["counts"]["trials"] for x in t.values()) >= 1)
+        await wait_until(world, faults, lambda t: sum(x["counts"]["trials"] for x in t.values()) >= 1)
         await world.revive_node("n2")
-        await until(world, faults, lambda t: not any(v["avoided"] for x in t.values() for v in x["verdicts"]))
+        await wait_until(
+            world, faults, lambda t: not any(v["avoided"] for x in t.values() for v in x["verdicts"])
+        )
         await playing
         assert world.account.judge().kept
 
     run(main)
 
 
-def test_one_sidecar_cut_from_every_node_and_one_from_discovery_convict_no_node_for_the_others():
-    """Refused, not reset: a reset accuses no node, and which of the two a cut shows as is the kernel's chance."""
+def test_a_sidecar_cut_from_all_nodes_and_one_cut_from_discovery_eject_no_node_for_others():
+    """Connections are refused, not reset.
+
+    A reset causes no failure report, and which of the two a cut link causes depends on the kernel's timing.
+    """
 
     async def main(world: Managed, faults: Faults) -> None:
-        load = load_of(world)
-        playing = asyncio.create_task(load.play(planned(10.0, lambda at: int(at * 50) % SIZE, 150.0)))
+        load = create_load(world)
+        playing = asyncio.create_task(load.play(plan_calls(10.0, lambda at: int(at * 50) % SIZE, 150.0)))
         every = tuple(range(len(world.nodes)))
         await asyncio.sleep(2)
         await faults.play((Step(0, "tcp", (0,), every, fault="refuse"), Step(0, "tcp", (1,), fault="black hole")))
@@ -207,14 +218,16 @@
     run(main, links=True)
 
 
-def test_garbage_a_flood_and_a_newer_version_harm_nobody():
-    """Ten thousand datagrams a second from one peer's address, of all kinds, with rumours that cannot be true."""
+def test_malformed_datagrams_a_flood_and_a_newer_version_harm_no_sidecar():
+    """One peer sends ten thousand datagrams a second of all kinds, with invalid updates."""
 
     async def main(world: Managed, faults: Faults) -> None:
         net = world.datagrams
         assert net is not None
         rng = random.Random(5)
-        playing = asyncio.create_task(load_of(world).play(planned(5.0, lambda at: int(at * 50) % SIZE, 60.0)))
+        playing = asyncio.create_task(
+            create_load(world).play(plan_calls(5.0, lambda at: int(at * 50) % SIZE, 60.0))
+        )
         for _ in range(150):
             for _ in range(300):
                 data = rng.randbytes(rng.randrange(300))
@@ -226,7 +239,7 @@
             await asyncio.sleep(0.03)
         await playing
         assert world.account.judge().kept
-        await until(world, faults, all_alive)
+        await wait_until(world, faults, all_alive)
         counts = [t["counts"] for t in (await tables(world, faults)).values()]
         assert sum(c["garbage"] + c["flooded"] for c in counts) > 0
         assert all(i.running and "Traceback" not in i.log for i in world.instances.values())
@@ -235,29 +248,29 @@
 
 
 def reconfigure(world: Managed, size: int) -> None:
-    """The platform lists so many sidecars from now on; those that run read it again."""
+    """Write a configuration with `size` sidecars for each instance; running ones reload it."""
     for name, instance in world.instances.items():
-        everybody = [world.datagrams.address(int(name[1:]), to) for to in range(size)]
-        instance.config["peers"] = everybody
+        addresses = [world.datagrams.address(int(name[1:]), to) for to in range(size)]
+        instance.config["peers"] = addresses
         world.command_line(name)  # writes it
         if instance.running:
             instance.process.send_signal(signal.SIGHUP)
 
 
-def test_a_list_of_peers_that_grows_by_sighup_takes_the_new_one_in():
+def test_a_sidecar_added_to_the_list_of_peers_by_sighup_joins_the_tier():
     async def main(world: Managed, faults: Faults) -> None:
         reconfigure(world, 4)
-        # The fifth is not on the list any more: it refuses that configuration, and is not heard.
-        await until(world, faults, lambda t: all(len(t[f"a{n}"]["members"]) == 4 for n in range(4)))
-        await until(world, faults, lambda t: "list every sidecar of the tier" in world.instances["a4"].log)
+        # The fifth is no longer on the list: it refuses that configuration, and the others ignore it.
+        await wait_until(world, faults, lambda t: all(len(t[f"a{n}"]["members"]) == 4 for n in range(4)))
+        await wait_until(world, faults, lambda t: "list every sidecar of the tier" in world.instances["a4"].log)
         reconfigure(world, SIZE)
-        await until(world, faults, all_alive)
+        await wait_until(world, faults, all_alive)
 
     run(main)
 
 
-def test_a_sidecar_with_anothers_number_is_heard_by_nobody():
-    """Its datagrams come from its own address, and say another's number."""
+def test_datagrams_of_a_sidecar_with_the_index_of_another_are_rejected():
+    """Its datagrams come from its own address, but contain the index of another."""
 
     async def main(world: Managed, faults: Faults) -> None:
         world.instances["a4"].config["settings"]["index"] = 3
@@ -265,47 +278,49 @@
         await world.start_instance("a4")
         await world.connected()
         others = lambda t: {n: x for n, x in t.items() if n != "a4"}  # noqa: E731
-        heard = ("a0", "a1", "a2")  # what it sends to 3 it takes for sent to itself
-        await until(world, faults, lambda t: all(t[n]["counts"]["garbage"] for n in heard))
-        await until(world, faults, lambda t: t["a4"]["twins"] > 0)
-        await until(world, faults, lambda t: not agree(others(t).values(), {3: "alive"}))
+        heard = ("a0", "a1", "a2")  # it does not send to index 3, which it takes for itself
+        await wait_until(world, faults, lambda t: all(t[n]["counts"]["garbage"] for n in heard))
+        await wait_until(world, faults, lambda t: t["a4"]["twins"] > 0)
+        await wait_until(world, faults, lambda t: not agree(others(t).values(), {3: "alive"}))
         lives = {x["members"][3]["life"] for x in others(await tables(world, faults)).values()}
         assert lives == {(await tables(world, faults))["a3"]["life"]}
 
     run(main)
 
 
-def test_a_limit_lowered_by_a_rollout_while_halves_are_cut_holds_once_all_have_it():
+def test_a_limit_lowered_by_a_rollout_during_a_partition_is_enforced_once_all_have_it():
     async def main(world: Managed, faults: Faults) -> None:
-        await until(world, faults, lambda t: not any(limit["young"] for x in t.values() for limit in x["limits"]))
+        await wait_until(
+            world, faults, lambda t: not any(limit["young"] for x in t.values() for limit in x["limits"])
+        )
         first, second = HALVES
         await faults.play((Step(0, "link", first, second, CUT), Step(0, "link", second, first, CUT)))
-        playing = asyncio.create_task(load_of(world).play(planned(14.0, lambda at: int(at) % SIZE)))
+        playing = asyncio.create_task(create_load(world).play(plan_calls(14.0, lambda at: int(at) % SIZE)))
         await asyncio.sleep(3)
         code, out, err = await world.command(
-            "set", f"tier.rate_per_s.{BRESCIA}=15", "-m", "lower", "--canary", "0", "--soak", "0"
+            "set", f"tier.rate_per_s.{TENANT}=15", "-m", "lower", "--canary", "0", "--soak", "0"
         )
         assert code == 0, (out, err)
         lowered_at = time.monotonic_ns()
         await playing
-        times = [at for at in admitted(world.account, BRESCIA) if at > lowered_at]
-        over, _ = over_rate(times, 15.0, max(SIZE, 15.0 * BURST_S), HELD_S)
+        times = [at for at in admitted(world.account, TENANT) if at > lowered_at]
+        over, _ = over_rate(times, 15.0, max(SIZE, 15.0 * BURST_S), MAX_QUEUED_S)
         assert over <= 0, over
-        over, _ = over_rate(admitted(world.account, BRESCIA), RATE, max(SIZE, RATE * BURST_S), HELD_S)
+        over, _ = over_rate(admitted(world.account, TENANT), RATE, max(SIZE, RATE * BURST_S), MAX_QUEUED_S)
         assert over <= 0, over
         code, out, _ = await world.command("tier", "limits")
         assert code == 0 and "of 15" in out, out
 
-    run(main, LIMITED)
+    run(main, RATE_LIMIT)
 
 
-def test_what_operators_see_of_a_cut():
+def test_the_operators_commands_show_a_partition():
     async def main(world: Managed, faults: Faults) -> None:
-        await until(world, faults, all_alive)
+        await wait_until(world, faults, all_alive)
         code, out, _ = await world.command("tier", "members")
         assert code == 0 and "0 differ from what most see" in out, out
         await faults.play((Step(0, "link", (0,), ALL, CUT), Step(0, "link", ALL, (0,), CUT)))
-        await until(world, faults, seen(0, "gone", 4))
+        await wait_until(world, faults, all_see(0, "gone", 4))
         code, out, _ = await world.command("tier", "members")
         assert code == 0 and "1 differ from what most see" in out, out
         code, out, _ = await world.command("tier", "verdicts")
@@ -316,21 +331,21 @@
     run(main)
 
 
-# --- what a tired operator writes ----------------------------------------------------------------
+# --- invalid operator settings -------------------------------------------------------------------
 
 
 @pytest.mark.parametrize(
     ("lines", "words"),
     [
-        (f"[tier]\nmode = 'off'\n[tier.rate_per_s]\n{BRESCIA} = 40", "is off by tier.mode"),
+        (f"[tier]\nmode = 'off'\n[tier.rate_per_s]\n{TENANT} = 40", "is off by tier.mode"),
         ("[tier.rate_per_s]\nofficina-milano = 40", "the platform names no such tenant"),
-        (f"[tier]\nlease_s = 2\ndelay_ms = 900\n[tier.rate_per_s]\n{BRESCIA} = 40", "at least 4.1"),
-        (f"[tier.rate_per_s]\n{BRESCIA} = 40\n[workers]\ncount = 2", "each worker would use all"),
-        (f"[tier.rate_per_s]\n{BRESCIA} = 0", "a number from 0.001"),
+        (f"[tier]\nlease_s = 2\ndelay_ms = 900\n[tier.rate_per_s]\n{TENANT} = 40", "at least 4.1"),
+        (f"[tier.rate_per_s]\n{TENANT} = 40\n[workers]\ncount = 2", "each worker would use all"),
+        (f"[tier.rate_per_s]\n{TENANT} = 0", "a number from 0.001"),
         ("[tier]\nmode = 'maybe'", "one of on, off"),
     ],
 )
-def test_what_cannot_hold_is_refused_with_the_reason_in_one_line(tmp_path, lines, words):
+def test_settings_that_cannot_be_enforced_are_refused_with_a_reason_in_one_line(tmp_path, lines, words):
     async def main() -> tuple[int | None, str]:
         world = World(Shape(nodes=1, instances=2, peers=True))
         async with world:
@@ -347,11 +362,11 @@
     assert code == 2 and words in err and len(err.strip().splitlines()) == 1, err
 
 
-def test_where_the_platform_allows_no_peers_a_limit_is_refused_and_the_tier_is_not_imported(tmp_path):
+def test_a_limit_without_peers_is_refused(tmp_path):
     async def main() -> tuple[int | None, str]:
         async with World(Shape(nodes=1, instances=1)) as world:
             command, env = world.command_line("a0")
-            (tmp_path / "o.toml").write_text(f"[tier.rate_per_s]\n{BRESCIA} = 40")
+            (tmp_path / "o.toml").write_text(f"[tier.rate_per_s]\n{TENANT} = 40")
             process = await asyncio.create_subprocess_exec(
                 *command, "--operator", str(tmp_path / "o.toml"), env=os.environ | env,
                 stderr=asyncio.subprocess.PIPE,
