--- a/tests/tier/test_limits.py
+++ b/tests/tier/test_limits.py
@@ -130,9 +130,8 @@
     assert grant is not None
     assert quota.retained(now) >= RULE.quota / 2
     assert quota.retained(now) >= RESERVED_FRACTION * RULE.quota
-    assert (
-        MemberQuota(RULE, now, 2).handle_request(now, 5, 1, LeaseRequest(1, 1.0, 1e9)) is None
-    )  # what it lent before the restart is unknown
+    # What it lent before the restart is unknown.
+    assert MemberQuota(RULE, now, 2).handle_request(now, 5, 1, LeaseRequest(1, 1.0, 1e9)) is None
     quota.tick(now, RULE.quota)  # the lender needs its quota again: the loan is not renewed
     assert quota.handle_request(now + 1, 5, 1, LeaseRequest(2, 1.0, 0.0)) is None
     quota.handle_grant(now, 3, Grant(1, 1e9))
--- a/tests/tier/test_member_quota.py
+++ b/tests/tier/test_member_quota.py
@@ -41,9 +41,8 @@
     end = NOW + RULE.hold_ns
     assert lender.retained(end - 1) == 20.0 and lender.lent(end - 1) == 10.0
     assert lender.retained(end) == 30.0 and lender.lent(end) == 0.0
-    assert lender.handle_request(end, 2, 9, LeaseRequest(4, 1.0, 10.0)) == Grant(
-        4, 10.0
-    )  # that loan has expired and is forgotten
+    # That loan has expired and is forgotten.
+    assert lender.handle_request(end, 2, 9, LeaseRequest(4, 1.0, 10.0)) == Grant(4, 10.0)
 
 
 def test_after_a_start_a_member_uses_the_reserved_fraction_and_lends_nothing():
@@ -72,9 +71,8 @@
     request = quota.tick(NOW + SECOND, demand - 0.5)
     assert request.additional == 0.0 and request.keep_fraction < RETURN_THRESHOLD
     assert quota.borrowed(NOW + SECOND) == pytest.approx(20.0 * request.keep_fraction)
-    quota.handle_grant(
-        NOW + SECOND, 2, Grant(request.sequence - 1, 5.0)
-    )  # for a request from before the reduction
+    # For a request from before the reduction.
+    quota.handle_grant(NOW + SECOND, 2, Grant(request.sequence - 1, 5.0))
     assert quota.borrowed(NOW + SECOND) == pytest.approx(20.0 * request.keep_fraction)
     quota.handle_grant(NOW + SECOND, 1, Grant(request.sequence, 20.0))  # a lender that did not reduce its loan
     assert quota.borrowed(NOW + SECOND) == 20.0
--- a/tests/tier/test_outlier_detection.py
+++ b/tests/tier/test_outlier_detection.py
@@ -106,20 +106,20 @@
     assert calls.avoiding("n4", 1) == 0.0
 
 
-@pytest.mark.parametrize("liars", [1, 2, 4])
-def test_false_failure_reports_on_every_node_eject_none_for_long(liars):
+@pytest.mark.parametrize("false_reporters", [1, 2, 4])
+def test_false_failure_reports_on_every_node_eject_none_for_long(false_reporters):
     """Up to a third of all members report falsely.
 
     The healthy reports of members whose calls are answered outweigh theirs, for at least nine tenths of the time.
     """
     calls = settled(size=12, seed=5)
-    calls.liars = {number: tuple(calls.zone_of) for number in range(liars)}
+    calls.liars = {number: tuple(calls.zone_of) for number in range(false_reporters)}
     avoided = []
     for _ in range(40):
         calls.run(0.25)
         avoided.append(max(len({a.server for a in calls.advice(n).servers}) for n in members(calls)))
     assert max(avoided) <= MAX_EJECTED_FRACTION * 12
-    if liars < module.MIN_REPORTERS:
+    if false_reporters < module.MIN_REPORTERS:
         assert max(avoided) == 0
     assert sum(avoided) <= 0.1 * 12 * len(avoided), avoided
 
--- a/tests/tier/test_processes.py
+++ b/tests/tier/test_processes.py
@@ -138,15 +138,15 @@
         load = create_load(world)
         calls = plan_calls(12.0, lambda at: 0 if at < 6 else 4)
         await asyncio.gather(load.play(calls), faults.play(FAULTS[name]))
-        verdict = world.account.judge()
+        judgement = world.account.judge()
         times = admitted(world.account, TENANT)
         over, at = over_rate(times, RATE, max(SIZE, RATE * BURST_S), MAX_QUEUED_S)
         assert over <= 0, f"{name}: over by {over:.1f}: {faults.history[:-1]}"
         # A stopped process cannot answer meanwhile. No other call may be lost, and none may arrive twice.
         stopped = {f"a{n}" for step in FAULTS[name] if step.do == "stop" for n in step.members}
-        breaks = [b for b in verdict.breaks if (b.rule, b.instance in stopped) != ("lost", True)]
+        breaks = [b for b in judgement.breaks if (b.rule, b.instance in stopped) != ("lost", True)]
         assert not breaks, breaks[:3]
-        assert verdict.refused > 0
+        assert judgement.refused > 0
         if name == "well":  # most of the limit is used, except for reserved fractions and the move
             assert len(times) >= 0.5 * RATE * 12, len(times)
 
@@ -203,14 +203,14 @@
         every = tuple(range(len(world.nodes)))
         await asyncio.sleep(2)
         await faults.play((Step(0, "tcp", (0,), every, fault="refuse"), Step(0, "tcp", (1,), fault="black hole")))
-        accused = set()
+        reporters = set()
         for _ in range(30):
             found = await tables(world, faults)
             avoided = {v["of"] for t in found.values() for v in t["verdicts"] if v["avoided"]}
             assert not avoided, faults.history[-1]
-            accused |= {n for t in found.values() for v in t["verdicts"] for n in v["accused_by"]}
+            reporters |= {n for t in found.values() for v in t["verdicts"] for n in v["accused_by"]}
             await asyncio.sleep(0.2)
-        assert accused == {0}
+        assert reporters == {0}
         await faults.play((Step(0, "tcp", (0,), every, fault="none"), Step(0, "tcp", (1,), fault="none")))
         await playing
         assert world.account.judge().kept, world.account.judge().breaks[:3]
@@ -278,12 +278,12 @@
         await world.start_instance("a4")
         await world.connected()
         others = lambda t: {n: x for n, x in t.items() if n != "a4"}  # noqa: E731
-        heard = ("a0", "a1", "a2")  # it does not send to index 3, which it takes for itself
-        await wait_until(world, faults, lambda t: all(t[n]["counts"]["garbage"] for n in heard))
+        receivers = ("a0", "a1", "a2")  # it does not send to index 3, which it takes for itself
+        await wait_until(world, faults, lambda t: all(t[n]["counts"]["garbage"] for n in receivers))
         await wait_until(world, faults, lambda t: t["a4"]["twins"] > 0)
         await wait_until(world, faults, lambda t: not agree(others(t).values(), {3: "alive"}))
-        lives = {x["members"][3]["life"] for x in others(await tables(world, faults)).values()}
-        assert lives == {(await tables(world, faults))["a3"]["life"]}
+        boot_ids = {x["members"][3]["life"] for x in others(await tables(world, faults)).values()}
+        assert boot_ids == {(await tables(world, faults))["a3"]["life"]}
 
     run(main)
 
@@ -335,7 +335,7 @@
 
 
 @pytest.mark.parametrize(
-    ("lines", "words"),
+    ("lines", "message"),
     [
         (f"[tier]\nmode = 'off'\n[tier.rate_per_s]\n{TENANT} = 40", "is off by tier.mode"),
         ("[tier.rate_per_s]\nofficina-milano = 40", "the platform names no such tenant"),
@@ -345,7 +345,7 @@
         ("[tier]\nmode = 'maybe'", "one of on, off"),
     ],
 )
-def test_settings_that_cannot_be_enforced_are_refused_with_a_reason_in_one_line(tmp_path, lines, words):
+def test_settings_that_cannot_be_enforced_are_refused_with_a_reason_in_one_line(tmp_path, lines, message):
     async def main() -> tuple[int | None, str]:
         world = World(Shape(nodes=1, instances=2, peers=True))
         async with world:
@@ -359,7 +359,7 @@
             return process.returncode, err.decode()
 
     code, err = asyncio.run(main())
-    assert code == 2 and words in err and len(err.strip().splitlines()) == 1, err
+    assert code == 2 and message in err and len(err.strip().splitlines()) == 1, err
 
 
 def test_a_limit_without_peers_is_refused(tmp_path):
--- a/tests/tier/test_swim.py
+++ b/tests/tier/test_swim.py
@@ -214,9 +214,12 @@
     view = isolated(6)
     received = updates + [update for update in updates if order.random() < 0.5]
     order.shuffle(received)
-    for word in received:
+    for update in received:
         view.receive(
-            1, Message(MessageKind.GOSSIP, word.reporter, 1000 + word.reporter, 1, 0, word.reporter, (word,))
+            1,
+            Message(
+                MessageKind.GOSSIP, update.reporter, 1000 + update.reporter, 1, 0, update.reporter, (update,)
+            ),
         )
     said = [(n, 1, ALIVE) for n in range(1, 6)] + [
         (update.member, update.incarnation, update.state) for update in updates
