--- a/covetally/fleet/drains.py
+++ b/covetally/fleet/drains.py
@@ -366,10 +366,10 @@
             if name not in account.units:
                 continue
             if not instance.connected:
-                account.lost(now, name, instance.left or "no link")
+                account.lost(now, name, instance.left or "not connected")
                 continue
             if self._is_unresponsive(instance):
-                account.lost(now, name, "does not answer")
+                account.lost(now, name, "unresponsive")
                 continue
             permit = self.permits.of(name)
             going = account.entry(name).state is State.GOING
--- a/covetally/fleet/freezes.py
+++ b/covetally/fleet/freezes.py
@@ -45,8 +45,8 @@
 
     def describe(self, now: float) -> str:
         """A one-line description for operators."""
-        remaining = f"for {self.until - now:.0f} s more" if now < self.until else "no more"
-        through = f"; {self.through} may act all the same" if self.through else ""
+        remaining = f"for {self.until - now:.0f} s more" if now < self.until else "expired"
+        through = f"; {self.through} is exempt" if self.through else ""
         return (
             f"freeze {self.number} by {self.who} ({self.reason}), {self.selector or 'all'}, {remaining}{through}"
         )
--- a/covetally/fleet/rollout.py
+++ b/covetally/fleet/rollout.py
@@ -261,9 +261,9 @@
         member.connected, member.boot, member.has, member.holds = True, boot, has, holds
         if self.ended:
             if failed == member.target != has and member.state is MemberState.TOOK:
-                self._set(now, member, MemberState.REFUSED, reason or "the process ended with it")
+                self._set(now, member, MemberState.REFUSED, reason or "the process crashed with it")
                 if self.phase is Phase.DONE:
-                    self._end(Phase.INCOMPLETE, f"{name} has lost it again")
+                    self._end(Phase.INCOMPLETE, f"{name} no longer has the target")
             return self._handle_late_report(now, member)
         undoing = self.phase is Phase.UNDOING
         if member.state in (MemberState.REFUSED, MemberState.SUPERSEDED, MemberState.UNDONE):
@@ -275,10 +275,10 @@
         elif has == member.target and not holds:
             self._mark_took(now, member)
         elif failed == member.target and member.tries:
-            self._set(now, member, MemberState.REFUSED, reason or "the process ended with it")
+            self._set(now, member, MemberState.REFUSED, reason or "the process crashed with it")
         elif member.state is MemberState.RESTARTING:
             if boot != member.told_boot:
-                self._set(now, member, MemberState.REFUSED, reason or "came back from its restart without it")
+                self._set(now, member, MemberState.REFUSED, reason or "returned from its restart without it")
             else:  # the link broke, perhaps before the restart message arrived
                 self._retry(now, member, MemberState.NEEDS_RESTART)
         elif member.state in (MemberState.SENT, MemberState.UNREACHABLE, MemberState.GONE, MemberState.TOOK):
@@ -427,9 +427,9 @@
             member.before = previous_digests.get(member.name, member.before)
             member.tries = 0
             if member.state is MemberState.PENDING:
-                self._set(now, member, MemberState.UNDONE, "was never sent")
+                self._set(now, member, MemberState.UNDONE, "never sent")
             elif member.state is MemberState.REFUSED and member.has == member.before and not member.holds:
-                self._set(now, member, MemberState.UNDONE, f"had refused: {member.detail}")
+                self._set(now, member, MemberState.UNDONE, f"refused before the undo: {member.detail}")
             elif member.state in UNDOABLE:
                 if member.connected:
                     self._set(now, member, MemberState.PENDING)
@@ -463,7 +463,7 @@
         elif self.phase in (Phase.DONE, Phase.INCOMPLETE) and member.has == member.target:
             self._mark_took(now, member)
             if self.phase is Phase.INCOMPLETE and not self.missing():
-                self._end(Phase.DONE, "the last of them took it later")
+                self._end(Phase.DONE, "the last member took it after the end")
         return self._take_actions()
 
     def _retry(self, now: float, member: Member, state: MemberState) -> None:
@@ -492,11 +492,11 @@
         if state is MemberState.SENT:
             detail = "sent, and no answer in time"
         elif state is MemberState.RESTARTING:
-            detail = "did not come back from its restart in time"
+            detail = "did not return from its restart in time"
         self._set(now, member, MemberState.UNREACHABLE, detail, given_up=True)
         if state is MemberState.RESTARTING and self.phase is not Phase.UNDOING:
             # Continuing would take down one more instance for each that does not come back.
-            self._handle_trouble(now, f"{member.name} did not come back from its restart")
+            self._handle_trouble(now, f"{member.name} did not return from its restart")
 
     # --- indexes of members ---------------------------------------------------------------------
 
@@ -646,7 +646,7 @@
         if self.phase is Phase.UNDOING:
             self._finish()
         else:
-            self._end(Phase.INCOMPLETE, f"its {self.plan.whole_s:g} s were over")
+            self._end(Phase.INCOMPLETE, f"its {self.plan.whole_s:g} s have passed")
         return self._take_actions()
 
     def _finish(self) -> None:
--- a/tests/fleet/simulated_fleet.py
+++ b/tests/fleet/simulated_fleet.py
@@ -30,7 +30,7 @@
     """The true state of one instance, which the rollout knows only from its messages."""
 
     name: str
-    behavior: str = "obeys"  # refuses, stalls, dies, wants_restart, loses_ack
+    behavior: str = "obeys"  # refuses, stalls, crashes, wants_restart, loses_ack
     has: str = OLD
     holds: str = ""
     boot: int = 1
@@ -118,7 +118,7 @@
         wanted = self.undo_digest if action.undo else NEW
         if instance.behavior == "stalls" and not action.undo:
             return
-        if instance.behavior == "dies" and not action.undo:
+        if instance.behavior == "crashes" and not action.undo:
             self.restart(name)
             return
         if instance.behavior == "refuses" and not action.undo:
--- a/tests/fleet/test_orders.py
+++ b/tests/fleet/test_orders.py
@@ -65,10 +65,10 @@
 
 
 @given(st.lists(st.sampled_from(["drain", "resume", "hold", "auto"]), max_size=12), st.randoms())
-def test_keeping_the_highest_revision_ends_in_the_last_state_for_any_message_order(words, random):
+def test_keeping_the_highest_revision_ends_in_the_last_state_for_any_message_order(actions, random):
     states, state = [], NO_ORDERS
-    for revision, word in enumerate(words, 1):
-        state = state.ordered(word, revision)
+    for revision, action in enumerate(actions, 1):
+        state = state.ordered(action, revision)
         states.append(state)
     received = [from_table(each.table()) for each in states * 2]  # each twice, in any order
     random.shuffle(received)
--- a/tests/fleet/test_rollout.py
+++ b/tests/fleet/test_rollout.py
@@ -10,7 +10,7 @@
 from covetally.fleet.rollout import TERMINAL_PHASES, Member, Phase, Plan, MemberState, assign_waves
 from tests.fleet.simulated_fleet import NEW, OLD, SimulatedFleet, SimulatedInstance
 
-BEHAVIORS = ("obeys", "refuses", "stalls", "dies", "wants_restart", "loses_ack")
+BEHAVIORS = ("obeys", "refuses", "stalls", "crashes", "wants_restart", "loses_ack")
 
 
 def states(fleet: SimulatedFleet) -> dict[str, str]:
@@ -64,7 +64,7 @@
     [
         ("refuses", "refused", "k: no"),
         ("stalls", "unreachable", "sent, and no answer in time"),
-        ("dies", "refused", "its link was lost 2 times"),
+        ("crashes", "refused", "its link was lost 2 times"),
         ("wants_restart", "needs_restart", "process.listen"),
         ("loses_ack", "took", ""),
     ],
@@ -347,7 +347,7 @@
 
 def _scenario() -> SimulatedFleet:
     """A rollout with every kind of behavior, for the tests that kill the agent at each transition."""
-    behaviors = ["obeys", "wants_restart", "refuses", "loses_ack", "dies", "stalls", "obeys", "obeys"]
+    behaviors = ["obeys", "wants_restart", "refuses", "loses_ack", "crashes", "stalls", "obeys", "obeys"]
     return SimulatedFleet(
         behaviors, Plan(canary=1, shares=(0.5, 1.0), max_out=3, soak_s=2, restart=True, instance_s=5)
     )
