--- a/benchmarks/lightweight.py
+++ b/benchmarks/lightweight.py
@@ -16,7 +16,7 @@
 import time
 
 from covetally.control.protocol import Decoder, digest, encode
-from covetally.control.redial import Redial
+from covetally.control.reconnect import Redial
 
 HEARTBEAT_S = 5.0
 COUNTS = {name: [0, 0, 0, 0] for name in ("module-lookup", "calib-update", "batch-checkin", "loan-transfer")}
--- a/covetally/configuration.py
+++ b/covetally/configuration.py
@@ -174,9 +174,9 @@
 
     def _made(self, platform: Config, values: Values) -> Config:
         """As `_effective`, of the operators' settings together; OperatorError if it cannot be used."""
-        from covetally.operator import tune
+        from covetally.operator import overrides
 
-        config = self._shape.config(replace(platform, **tune.changes(platform, values)))
+        config = self._shape.config(replace(platform, **overrides.changes(platform, values)))
         _plan(values)
         _tier(config, values)
         _overload(config, values)
--- a/covetally/control/manager.py
+++ b/covetally/control/manager.py
@@ -15,12 +15,12 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, Any
 
-from covetally.control import keep, taking
-from covetally.control.keep import Kept
+from covetally.control import revisions, state_file
+from covetally.control.state_file import Kept
 from covetally.control.orders import WORDS, Orders, RosterMode, from_table
 from covetally.control.protocol import HELLO_S, VERSIONS, Decoder, Message, ProtocolError, digest, encode
-from covetally.control.redial import Redial
-from covetally.control.taking import Held, Step
+from covetally.control.reconnect import Redial
+from covetally.control.revisions import Held, Step
 from covetally.net.config import ConfigError
 
 if TYPE_CHECKING:
@@ -48,7 +48,7 @@
         self._epoch = 0  # the highest of any order to go out; this process's memory only
         self._path = Path(str(own["control.keep"])) if "control.keep" in own else None
         kept = self._recall()
-        self._memory = taking.start(kept.memory)
+        self._memory = revisions.start(kept.memory)
         self.orders = kept.orders  # what an operator wants of this sidecar, as far as it is known here
         self._redial = Redial(0.5, 30.0)
         self._writer: asyncio.StreamWriter | None = None
@@ -65,7 +65,7 @@
         if self._path is None:
             return Kept()
         try:
-            return keep.read(self._path)
+            return state_file.read(self._path)
         except ValueError as error:
             log.error("control.keep: %s: %s: nothing managed is in force", self._path, error)
             return Kept()
@@ -75,16 +75,16 @@
         has proven them, the next one must know."""
         if self._path is not None and self._memory.trial is not None:
             try:
-                keep.write(self._path, Kept(self._memory, self.orders))
+                state_file.write(self._path, Kept(self._memory, self.orders))
             except OSError as error:
                 log.error("control.keep: %s: starting without what is on trial", error)
-                self._memory = taking.unusable(self._memory, f"control.keep cannot be written: {error}")
+                self._memory = revisions.unusable(self._memory, f"control.keep cannot be written: {error}")
         return dict(self._memory.in_force.values)
 
     def unusable(self, reason: str) -> dict[str, Any]:
         """The settings of `at_start` cannot be used; returns what to start with instead."""
         log.error("revision %d cannot be used any more: %s", self._memory.in_force.revision, reason)
-        self._memory = taking.unusable(self._memory, reason)
+        self._memory = revisions.unusable(self._memory, reason)
         return dict(self._memory.in_force.values)
 
     def restore_orders(self) -> None:
@@ -361,7 +361,7 @@
         offered = Held(message["revision"], message["digest"], message["values"])
         problems, restart = self._check(offered)
         before = self._memory
-        memory, step, reply = taking.offer(before, offered, problems, restart)
+        memory, step, reply = revisions.offer(before, offered, problems, restart)
         if step is not Step.NOTHING:
             try:
                 self._memory = memory
@@ -372,7 +372,7 @@
             except (OSError, ConfigError) as error:
                 self._memory = before
                 refusal = {"key": "control.keep", "value": None, "reason": str(error), "remedy": ""}
-                reply = taking.Reply("refused", offered, (refusal,))
+                reply = revisions.Reply("refused", offered, (refusal,))
         log.info("revision %d: %s", offered.revision, reply.outcome)
         return {
             "t": "ack", "revision": offered.revision, "digest": offered.digest, "outcome": reply.outcome,
@@ -397,9 +397,9 @@
     async def _keep(self) -> None:
         if self._path is not None:
             async with self._writing:
-                await asyncio.to_thread(keep.write, self._path, Kept(self._memory, self.orders))
+                await asyncio.to_thread(state_file.write, self._path, Kept(self._memory, self.orders))
 
-    def _prove_later(self, after_s: float = taking.PROVE_S) -> None:
+    def _prove_later(self, after_s: float = revisions.PROVE_S) -> None:
         if self._proving is not None:
             self._proving.cancel()
         loop = asyncio.get_running_loop()
@@ -408,7 +408,7 @@
     async def _proven(self) -> None:
         """The revision on trial is good. Until that is kept a crash would count against it: it is tried again."""
         self._proving = None
-        self._memory = taking.proven(self._memory)
+        self._memory = revisions.proven(self._memory)
         try:
             await self._keep()
         except OSError as error:
--- a/covetally/control/keep.py
+++ b/covetally/control/state_file.py
@@ -6,9 +6,9 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from covetally.control import orders, taking
+from covetally.control import orders, revisions
 from covetally.control.orders import NO_ORDERS, Orders
-from covetally.control.taking import Memory
+from covetally.control.revisions import Memory
 from covetally.operator import files
 
 MAX_KEEP = 4 * 1024 * 1024
@@ -28,12 +28,12 @@
     if data is None:
         return Kept()
     table = json.loads(data)
-    memory = taking.from_table(table)
+    memory = revisions.from_table(table)
     # A file of a version that kept no orders has none.
     return Kept(memory, orders.from_table(table["orders"]) if "orders" in table else NO_ORDERS)
 
 
 def write(path: Path, kept: Kept) -> None:
     """Replace the file's content, wholly or not at all, also if the machine stops; OSError if it cannot be."""
-    table = taking.to_table(kept.memory) | {"orders": kept.orders.table()}
+    table = revisions.to_table(kept.memory) | {"orders": kept.orders.table()}
     files.replace(path, json.dumps(table, indent=1).encode())
--- a/covetally/process.py
+++ b/covetally/process.py
@@ -34,7 +34,7 @@
 from covetally.signals import SignalHandlers
 
 if TYPE_CHECKING:
-    from covetally.control.gauges import Gauges
+    from covetally.control.status import Gauges
     from covetally.control.instance import Instance
     from covetally.control.manager import Manager
     from covetally.membership.register import Registrar
@@ -108,7 +108,7 @@
 
     def gauges(self) -> Gauges:
         """What tells of it."""
-        from covetally.control.gauges import Gauges
+        from covetally.control.status import Gauges
 
         return Gauges(self)
 
--- a/covetally/workers/member.py
+++ b/covetally/workers/member.py
@@ -17,7 +17,7 @@
 from typing import TYPE_CHECKING
 
 from covetally.configuration import Configuration
-from covetally.control.gauges import Gauges
+from covetally.control.status import Gauges
 from covetally.control.protocol import Message
 from covetally.logs import set_up
 from covetally.net.config import Config, ConfigError
--- a/covetally/workers/supervisor.py
+++ b/covetally/workers/supervisor.py
@@ -19,7 +19,7 @@
 from typing import TYPE_CHECKING, Any
 
 from covetally.configuration import NO_ROSTER, Configuration
-from covetally.control.gauges import Ring
+from covetally.control.status import Ring
 from covetally.control.protocol import Message
 from covetally.loop_monitor import LoopMonitor
 from covetally.net.config import ConfigError
--- a/tests/control/test_keep_disk.py
+++ b/tests/control/test_disk_failures.py
@@ -13,10 +13,10 @@
 
 import pytest
 
-from covetally.control import keep, manager
+from covetally.control import manager, state_file
 from covetally.control.orders import Orders
 from covetally.control.protocol import digest
-from covetally.control.taking import Held, Memory
+from covetally.control.revisions import Held, Memory
 from covetally.membership import keep as membership_keep
 from covetally.operator import files
 from covetally.rig.account import SECOND
@@ -105,17 +105,17 @@
             assert code == 1 and "control.keep cannot be written" in out, out
             (shown,) = (await world.get("/v1/instances"))["instances"]
             assert shown["state"] == "serving" and not shown["orders"]["draining"]
-            assert not path.exists() or not keep.read(path).orders.draining
+            assert not path.exists() or not state_file.read(path).orders.draining
             await asyncio.sleep(max(0.0, (span[1] - time.monotonic_ns()) / SECOND) + 0.1)
             assert (await world.command("drain"))[0] == 0
-            assert keep.read(path).orders.draining
+            assert state_file.read(path).orders.draining
 
     asyncio.run(main())
 
 
 def test_a_trial_that_is_proven_while_the_disk_refuses_is_kept_once_it_is_well(tmp_path, monkeypatch, caplog):
     """It was said, and never tried again: a crash later on counted against a revision that was good."""
-    path, real, sick = tmp_path / "keep.json", keep.write, [True, True]
+    path, real, sick = tmp_path / "keep.json", state_file.write, [True, True]
 
     def write(*args):
         if sick and sick.pop():
@@ -127,12 +127,12 @@
         platform = SimpleNamespace(name="a0")
         instance = SimpleNamespace(configuration=SimpleNamespace(own=own, platform=platform))
         managed = manager.Manager(instance)
-        monkeypatch.setattr(keep, "write", write)
+        monkeypatch.setattr(state_file, "write", write)
         monkeypatch.setattr(manager, "KEEP_AGAIN_S", 0.02)
         managed._memory = Memory(trial=Held(1, digest({}), {}))
         await managed._proven()
         await wait_until(path.exists)
-        assert keep.read(path).memory.good.revision == 1
+        assert state_file.read(path).memory.good.revision == 1
         assert caplog.text.count("make room on the disk") == 1
 
     asyncio.run(main())
--- a/tests/control/test_taking.py
+++ b/tests/control/test_revisions.py
@@ -10,12 +10,12 @@
 from hypothesis import settings as profile
 from hypothesis import strategies as st
 
-from covetally.control import keep, taking
-from covetally.control.keep import Kept
+from covetally.control import revisions, state_file
+from covetally.control.state_file import Kept
 from covetally.control.orders import Orders
 from covetally.control.protocol import Decoder, ProtocolError, digest, encode, pick_version
-from covetally.control.redial import Redial
-from covetally.control.taking import Held, Memory, Step
+from covetally.control.reconnect import Redial
+from covetally.control.revisions import Held, Memory, Step
 
 
 def held(revision: int, **values) -> Held:
@@ -28,16 +28,16 @@
 
 
 def test_what_can_be_used_is_on_trial_and_then_good():
-    memory, step, reply = taking.offer(Memory(), ONE, [], [])
+    memory, step, reply = revisions.offer(Memory(), ONE, [], [])
     assert (step, reply.outcome) == (Step.APPLY, "took")
     assert memory.in_force == ONE and memory.good.revision == 0
-    memory = taking.proven(memory)
+    memory = revisions.proven(memory)
     assert memory.good == ONE and memory.trial is None
 
 
 def test_what_cannot_be_used_changes_nothing_and_says_why():
     memory = Memory(good=ONE, pending=TWO)
-    again, step, reply = taking.offer(memory, held(3, a=9), [PROBLEM], [])
+    again, step, reply = revisions.offer(memory, held(3, a=9), [PROBLEM], [])
     assert (again, step) == (memory, Step.NOTHING)
     assert reply.outcome == "refused" and reply.errors == (PROBLEM,)
 
@@ -49,39 +49,39 @@
 )
 def test_what_is_not_what_it_says_or_is_older_is_refused(offered, key):
     memory = Memory(good=ONE)
-    again, step, reply = taking.offer(memory, offered, [], [])
+    again, step, reply = revisions.offer(memory, offered, [], [])
     assert (again, step, reply.outcome) == (memory, Step.NOTHING, "refused")
     assert reply.errors[0]["key"] == key
 
 
 def test_what_is_in_force_is_took_and_not_applied_again():
-    memory, step, reply = taking.offer(Memory(good=ONE), ONE, [], [])
+    memory, step, reply = revisions.offer(Memory(good=ONE), ONE, [], [])
     assert (memory, step, reply.outcome) == (Memory(good=ONE), Step.NOTHING, "took")
-    memory, step, reply = taking.offer(Memory(good=ONE), held(5, a=1), [], [])
+    memory, step, reply = revisions.offer(Memory(good=ONE), held(5, a=1), [], [])
     assert (memory.in_force.revision, step, reply.outcome) == (5, Step.KEEP, "took")
 
 
 def test_what_takes_a_restart_waits_whole_and_can_be_taken_back():
-    memory, step, reply = taking.offer(Memory(good=ONE), TWO, [], ["process.listen"])
+    memory, step, reply = revisions.offer(Memory(good=ONE), TWO, [], ["process.listen"])
     assert (step, reply.outcome, reply.keys) == (Step.KEEP, "needs_restart", ("process.listen",))
     assert memory.in_force == ONE and memory.pending == TWO
-    assert taking.offer(memory, TWO, [], ["process.listen"])[1] is Step.NOTHING
-    back, step, reply = taking.offer(memory, held(3, a=1), [], [])
+    assert revisions.offer(memory, TWO, [], ["process.listen"])[1] is Step.NOTHING
+    back, step, reply = revisions.offer(memory, held(3, a=1), [], [])
     assert (back.pending, step, reply.outcome) == (None, Step.KEEP, "took")
 
 
 def test_what_waited_is_tried_at_the_next_start_and_out_after_one_that_failed():
-    started = taking.start(Memory(good=ONE, pending=TWO))
+    started = revisions.start(Memory(good=ONE, pending=TWO))
     assert (started.in_force, started.good) == (TWO, ONE)
-    died = taking.start(started)
+    died = revisions.start(started)
     assert (died.in_force, died.failed) == (ONE, TWO) and "ended soon" in died.reason
-    assert taking.start(replace(died, pending=TWO)).in_force == ONE, "it is not tried twice by itself"
+    assert revisions.start(replace(died, pending=TWO)).in_force == ONE, "it is not tried twice by itself"
 
 
 def test_what_the_platform_no_longer_lets_be_used_is_out():
-    memory = taking.unusable(Memory(good=ONE, trial=TWO), "no such class")
+    memory = revisions.unusable(Memory(good=ONE, trial=TWO), "no such class")
     assert (memory.in_force, memory.failed, memory.reason) == (ONE, TWO, "no such class")
-    memory = taking.unusable(memory, "nor this")
+    memory = revisions.unusable(memory, "nor this")
     assert memory.in_force.revision == 0 and memory.failed == ONE
 
 
@@ -101,7 +101,7 @@
             _, revision, value, kind = event
             offered = held(revision, a=value)
             problems = [PROBLEM] if kind == "bad" else []
-            memory, step, reply = taking.offer(memory, offered, problems, ["k"] if kind == "restart" else [])
+            memory, step, reply = revisions.offer(memory, offered, problems, ["k"] if kind == "restart" else [])
             if step is Step.APPLY:
                 running = offered.digest
                 assert memory.good == before.in_force, "what was in force before is kept"
@@ -112,12 +112,12 @@
             if step is Step.NOTHING:
                 assert memory == before
         elif event[0] == "start":
-            memory = taking.start(memory)
+            memory = revisions.start(memory)
             running = memory.in_force.digest
         elif event[0] == "proven":
-            memory = taking.proven(memory)
+            memory = revisions.proven(memory)
         else:
-            memory = taking.from_table(json.loads(json.dumps(taking.to_table(memory))))
+            memory = revisions.from_table(json.loads(json.dumps(revisions.to_table(memory))))
             assert memory == before, "what is written is what is read"
         assert running == memory.in_force.digest
         assert memory.in_force.revision >= 0
@@ -128,23 +128,23 @@
 
 def test_a_write_that_was_cut_off_leaves_what_was_there(tmp_path):
     path = tmp_path / "keep.json"
-    assert keep.read(path) == Kept()
-    keep.write(path, Kept(Memory(good=ONE), DRAINED))
+    assert state_file.read(path) == Kept()
+    state_file.write(path, Kept(Memory(good=ONE), DRAINED))
     (tmp_path / "keep.json.new").write_text('{"format": 1, "goo')
-    assert keep.read(path) == Kept(Memory(good=ONE), DRAINED)
-    keep.write(path, Kept(Memory(good=ONE, trial=TWO)))
-    assert keep.read(path).memory.in_force == TWO
+    assert state_file.read(path) == Kept(Memory(good=ONE), DRAINED)
+    state_file.write(path, Kept(Memory(good=ONE, trial=TWO)))
+    assert state_file.read(path).memory.in_force == TWO
 
 
 @pytest.mark.parametrize(
     "text",
-    ["", "[]", "{", '{"format": 2}', json.dumps(taking.to_table(Memory(good=replace(ONE, digest="x"))))],
+    ["", "[]", "{", '{"format": 2}', json.dumps(revisions.to_table(Memory(good=replace(ONE, digest="x"))))],
 )
 def test_a_file_that_is_spoilt_is_said_to_be(tmp_path, text):
     path = tmp_path / "keep.json"
     path.write_text(text)
     with pytest.raises(ValueError):
-        keep.read(path)
+        state_file.read(path)
 
 
 # --- frames ---------------------------------------------------------------------------------------
--- a/tests/operator/test_check.py
+++ b/tests/operator/test_check.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 
 from covetally.cli.main import main
-from covetally.operator import check, example, schema, tune
+from covetally.operator import check, example, overrides, schema
 from covetally.operator.check import OperatorError, checked
 from tests.support import MS, settings
 
@@ -118,7 +118,7 @@
 
 
 def test_every_key_changes_the_configuration_it_names():
-    changed = tune.changes(
+    changed = overrides.changes(
         PLATFORM,
         {
             "limits.client_connections": 9, "limits.server_connections": 8, "limits.body_memory_kib": 64,
@@ -143,11 +143,11 @@
 )
 def test_connections_that_do_not_fit_into_the_descriptors_are_refused(values, key):
     with pytest.raises(OperatorError) as caught:
-        tune.changes(PLATFORM, values)
+        overrides.changes(PLATFORM, values)
     (found,) = caught.value.problems
     assert found.key == key and "at most 243 together, of 256" in found.remedy
     fits = {"limits.client_connections": 141, "limits.server_connections": 102}
-    assert tune.changes(PLATFORM, fits)["client_connections"] == 141
+    assert overrides.changes(PLATFORM, fits)["client_connections"] == 141
 
 
 def test_the_command_says_what_is_wrong_and_ends_with_2(tmp_path):
