--- a/benchmarks/lightweight.py
+++ b/benchmarks/lightweight.py
@@ -16,7 +16,7 @@
 import time
 
 from covetally.control.protocol import Decoder, digest, encode
-from covetally.control.reconnect import Redial
+from covetally.control.reconnect import ReconnectBackoff
 
 HEARTBEAT_S = 5.0
 COUNTS = {name: [0, 0, 0, 0] for name in ("module-lookup", "calib-update", "batch-checkin", "loan-transfer")}
@@ -29,7 +29,7 @@
         self.path, self.name, self.rng = path, f"l{number:05}", rng
         self.values, self.revision = {}, 0
         self.silent = False  # when it is asked
-        self.redial = Redial(0.5, 30.0)
+        self.redial = ReconnectBackoff(0.5, 30.0)
         self.lost_at = 0.0
 
     async def run(self) -> None:
@@ -38,8 +38,8 @@
                 await self.link()
             if not self.lost_at:
                 self.lost_at = time.monotonic()
-                self.redial.stood(60.0)
-            await asyncio.sleep(self.redial.pause(self.rng.random()))
+                self.redial.record_uptime(60.0)
+            await asyncio.sleep(self.redial.next_delay(self.rng.random()))
 
     async def link(self) -> None:
         async with asyncio.timeout(5.0):
--- a/covetally/caps/settings.py
+++ b/covetally/caps/settings.py
@@ -9,7 +9,13 @@
 from covetally.caps.rule import Mode, Rule
 from covetally.interface import SECOND, Settings
 from covetally.operator.check import OperatorError, Problem
-from covetally.operator.schema import CAPS_CLIENT, CAPS_NODE, IN_FLIGHT, RATE, Value
+from covetally.operator.schema import (
+    CAPS_CLIENT_PREFIX,
+    CAPS_NODE_PREFIX,
+    TIER_IN_FLIGHT_PREFIX,
+    TIER_RATE_PREFIX,
+    Value,
+)
 
 UNKNOWN, NOBODY = "unknown-workshops", -1  # whoever the platform does not name, together
 SPARE_NS = SECOND  # past a class's deadline: its last request is answered
@@ -38,9 +44,11 @@
     lease_ns = int(float(values.get("caps.lease_s", 4)) * SECOND)
     linger_ns = max(c.deadline_ns for c in settings.classes) + SPARE_NS
     caps = []
-    held = sorted(name for name in values if name.startswith((RATE, IN_FLIGHT)))
+    held = sorted(name for name in values if name.startswith((TIER_RATE_PREFIX, TIER_IN_FLIGHT_PREFIX)))
     for name, value in sorted(values.items()):
-        kind, prefix = (CLIENT, CAPS_CLIENT) if name.startswith(CAPS_CLIENT) else (NODE, CAPS_NODE)
+        kind, prefix = (
+            (CLIENT, CAPS_CLIENT_PREFIX) if name.startswith(CAPS_CLIENT_PREFIX) else (NODE, CAPS_NODE_PREFIX)
+        )
         if not name.startswith(prefix):
             continue
         tenant = name.removeprefix(prefix)
--- a/covetally/cli/change.py
+++ b/covetally/cli/change.py
@@ -36,9 +36,9 @@
 
 def _checked(values: dict[str, Any]) -> dict[str, Any]:
     try:
-        return check.checked(values, managed=True)
+        return check.validate(values, managed=True)
     except check.OperatorError as error:
-        table = {"error": "bad_input", "problems": [p.table() for p in error.problems]}
+        table = {"error": "bad_input", "problems": [p.as_dict() for p in error.problems]}
         raise Failure("\n".join(map(str, error.problems)), BAD_INPUT, table) from None
 
 
--- a/covetally/cli/main.py
+++ b/covetally/cli/main.py
@@ -48,7 +48,7 @@
     except operator_check.OperatorError as error:
         problems = error.problems
     if as_json:
-        found = {"file": str(file), "settings": values, "problems": [p.table() for p in problems]}
+        found = {"file": str(file), "settings": values, "problems": [p.as_dict() for p in problems]}
         click.echo(json.dumps(found, indent=2))
     else:
         for problem in problems:
--- a/covetally/configuration.py
+++ b/covetally/configuration.py
@@ -32,10 +32,10 @@
 class Memory(Protocol):
     """What an agent has set, as it outlived the process before."""
 
-    def at_start(self) -> Values:
+    def initial_values(self) -> Values:
         """What to start with."""
 
-    def unusable(self, reason: str) -> Values:
+    def reject_initial(self, reason: str) -> Values:
         """That cannot be used: what to start with instead."""
 
 
@@ -74,13 +74,13 @@
 
     def recall(self, memory: Memory) -> None:
         """Start with what an agent had set. It must not keep a sidecar from starting."""
-        self.managed = memory.at_start()
+        self.managed = memory.initial_values()
         while self.managed:
             try:
                 self.config = self._effective(self.platform, self.own, self.managed)
                 return
             except ConfigError as error:
-                self.managed = memory.unusable(str(error))
+                self.managed = memory.reject_initial(str(error))
 
     @property
     def values(self) -> Values:
@@ -176,7 +176,7 @@
         """As `_effective`, of the operators' settings together; OperatorError if it cannot be used."""
         from covetally.operator import overrides
 
-        config = self._shape.config(replace(platform, **overrides.changes(platform, values)))
+        config = self._shape.config(replace(platform, **overrides.config_overrides(platform, values)))
         _plan(values)
         _tier(config, values)
         _overload(config, values)
@@ -220,7 +220,7 @@
         return None
     from covetally.operator import check, schema
 
-    asking = sorted(n for n in values if n.startswith((schema.RATE, schema.IN_FLIGHT)))
+    asking = sorted(n for n in values if n.startswith((schema.TIER_RATE_PREFIX, schema.TIER_IN_FLIGHT_PREFIX)))
     if values.get("tier.mode") == "on":
         asking.append("tier.mode")
     if not asking:
--- a/covetally/control/instance.py
+++ b/covetally/control/instance.py
@@ -8,7 +8,7 @@
     from covetally.configuration import Configuration
 
 
-class Told(Protocol):
+class StatusSource(Protocol):
     """What an instance can tell of itself, between `start` and `stop`."""
 
     started: float  # s since the epoch
@@ -19,7 +19,7 @@
     def stop(self) -> None:
         """Count no more."""
 
-    def beat(self) -> dict[str, Any]:
+    def heartbeat(self) -> dict[str, Any]:
         """What goes with every heartbeat."""
 
     async def snapshot(self) -> dict[str, Any]:
@@ -39,13 +39,13 @@
         """serving, draining or drained."""
 
     @property
-    def ending(self) -> bool:
+    def shutting_down(self) -> bool:
         """Whether it has been told to end."""
 
-    def gauges(self) -> Told:
+    def status_source(self) -> StatusSource:
         """What tells of it, new and not started."""
 
-    def manage(self, values: dict[str, Any]) -> None:
+    def apply_managed(self, values: dict[str, Any]) -> None:
         """Take up these settings; ConfigError, and nothing changed, if they cannot be used."""
 
     def drain(self, within_s: float | None) -> None:
@@ -57,10 +57,10 @@
     def start_drained(self) -> None:
         """Refuse clients from the start of the process on, until `resume`."""
 
-    def end(self) -> None:
+    def begin_shutdown(self) -> None:
         """Drain and end."""
 
-    def order(self, what: str) -> str:
+    def order_roster(self, what: str) -> str:
         """An order to the roster: believe, hold or auto. Empty, or why not."""
 
     async def roster_table(self) -> dict[str, Any]:
--- a/covetally/control/manager.py
+++ b/covetally/control/manager.py
@@ -16,15 +16,23 @@
 from typing import TYPE_CHECKING, Any
 
 from covetally.control import revisions, state_file
-from covetally.control.state_file import Kept
-from covetally.control.orders import WORDS, Orders, RosterMode, from_table
-from covetally.control.protocol import HELLO_S, VERSIONS, Decoder, Message, ProtocolError, digest, encode
-from covetally.control.reconnect import Redial
-from covetally.control.revisions import Held, Step
+from covetally.control.state_file import SavedState
+from covetally.control.orders import STATE_ORDERS, Orders, RosterMode, from_dict
+from covetally.control.protocol import (
+    HANDSHAKE_TIMEOUT_S,
+    VERSIONS,
+    Decoder,
+    Message,
+    ProtocolError,
+    digest,
+    encode,
+)
+from covetally.control.reconnect import ReconnectBackoff
+from covetally.control.revisions import Revision, Action
 from covetally.net.config import ConfigError
 
 if TYPE_CHECKING:
-    from covetally.control.instance import Instance, Told
+    from covetally.control.instance import Instance, StatusSource
 
 log = logging.getLogger(__name__)
 
@@ -48,43 +56,43 @@
         self._epoch = 0  # the highest of any order to go out; this process's memory only
         self._path = Path(str(own["control.keep"])) if "control.keep" in own else None
         kept = self._recall()
-        self._memory = revisions.start(kept.memory)
+        self._memory = revisions.on_start(kept.memory)
         self.orders = kept.orders  # what an operator wants of this sidecar, as far as it is known here
-        self._redial = Redial(0.5, 30.0)
+        self._redial = ReconnectBackoff(0.5, 30.0)
         self._writer: asyncio.StreamWriter | None = None
         self._task: asyncio.Task[None] | None = None
         self._proving: asyncio.TimerHandle | None = None
         self._writing = asyncio.Lock()
         self._told_down = False
         self._cannot_keep = False  # the disk did not take what was last to be kept of a trial
-        self.gauges: Told
+        self.status_source: StatusSource
 
     # --- before and after -----------------------------------------------------------------------
 
-    def _recall(self) -> Kept:
+    def _recall(self) -> SavedState:
         if self._path is None:
-            return Kept()
+            return SavedState()
         try:
             return state_file.read(self._path)
         except ValueError as error:
             log.error("control.keep: %s: %s: nothing managed is in force", self._path, error)
-            return Kept()
+            return SavedState()
 
-    def at_start(self) -> dict[str, Any]:
+    def initial_values(self) -> dict[str, Any]:
         """The managed settings to start with. The memory is written first: if they kill the process before it
         has proven them, the next one must know."""
         if self._path is not None and self._memory.trial is not None:
             try:
-                state_file.write(self._path, Kept(self._memory, self.orders))
+                state_file.write(self._path, SavedState(self._memory, self.orders))
             except OSError as error:
                 log.error("control.keep: %s: starting without what is on trial", error)
-                self._memory = revisions.unusable(self._memory, f"control.keep cannot be written: {error}")
+                self._memory = revisions.reject_in_force(self._memory, f"control.keep cannot be written: {error}")
         return dict(self._memory.in_force.values)
 
-    def unusable(self, reason: str) -> dict[str, Any]:
+    def reject_initial(self, reason: str) -> dict[str, Any]:
         """The settings of `at_start` cannot be used; returns what to start with instead."""
         log.error("revision %d cannot be used any more: %s", self._memory.in_force.revision, reason)
-        self._memory = revisions.unusable(self._memory, reason)
+        self._memory = revisions.reject_in_force(self._memory, reason)
         return dict(self._memory.in_force.values)
 
     def restore_orders(self) -> None:
@@ -93,20 +101,20 @@
             self._instance.start_drained()
         if self.orders.roster is RosterMode.AUTO:
             return
-        if reason := self._instance.order(self.orders.roster.value):
+        if reason := self._instance.order_roster(self.orders.roster.value):
             log.error("the order %s of the roster cannot hold: %s", self.orders.roster.value, reason)
 
     def start(self) -> None:
         """The sidecar serves: look for the agent."""
-        self.gauges = self._instance.gauges()
-        self.gauges.start()
+        self.status_source = self._instance.status_source()
+        self.status_source.start()
         if self._memory.trial is not None:
             self._prove_later()
         elif self._memory.failed is not None:
             self._prove_later(0.0)  # what failed is kept as such
         self._task = asyncio.create_task(self._run())
 
-    def goodbye(self) -> None:
+    def announce_shutdown(self) -> None:
         """The sidecar drains and will end."""
         self._send({"t": "bye", "reason": "ends"})
 
@@ -116,7 +124,7 @@
             self._task.cancel()
             with contextlib.suppress(asyncio.CancelledError):
                 await self._task
-        self.gauges.stop()
+        self.status_source.stop()
         if self._proving is not None:
             self._proving.cancel()
             await self._proven()
@@ -127,8 +135,8 @@
         loop = asyncio.get_running_loop()
         while True:
             values = self._instance.configuration.values
-            self._redial.least = float(values.get("control.redial_min_s", 0.5))
-            self._redial.most = float(values.get("control.redial_max_s", 30.0))
+            self._redial.min_s = float(values.get("control.redial_min_s", 0.5))
+            self._redial.max_s = float(values.get("control.redial_max_s", 30.0))
             start = loop.time()
             try:
                 await self._link()
@@ -138,17 +146,17 @@
                 self._told_down = True
             except Exception:  # a bug here costs management, never service
                 log.exception("the link to the agent failed by a bug")
-            self._redial.stood(loop.time() - start)
-            await asyncio.sleep(self._redial.pause(random.random()))
+            self._redial.record_uptime(loop.time() - start)
+            await asyncio.sleep(self._redial.next_delay(random.random()))
 
     async def _link(self) -> None:
-        async with asyncio.timeout(HELLO_S):
+        async with asyncio.timeout(HANDSHAKE_TIMEOUT_S):
             reader, writer = await self._dial()
         decoder, beats = Decoder(), None
         try:
             self._writer = writer
             self._send(self._hello())
-            async with asyncio.timeout(HELLO_S):
+            async with asyncio.timeout(HANDSHAKE_TIMEOUT_S):
                 messages = await self._read(reader, decoder)
             first = messages.pop(0)
             if first["t"] == "deny":
@@ -205,12 +213,12 @@
         now, memory = self._memory.in_force, self._memory
         return {
             "t": "hello", "versions": list(VERSIONS), "name": self.name, "boot": self._boot, "pid": os.getpid(),
-            "version": _version(), "labels": self._labels, "started": self.gauges.started,
+            "version": _version(), "labels": self._labels, "started": self.status_source.started,
             "revision": now.revision, "digest": now.digest, "values": dict(now.values),
             "pending": memory.pending.digest if memory.pending else "",
             "failed": memory.failed.digest if memory.failed else "", "reason": memory.reason,
             "may_restart": bool(self._own.get("control.may_restart", False)),
-            "epoch": self._epoch, "keeps": self._path is not None, "orders": self.orders.table(),
+            "epoch": self._epoch, "keeps": self._path is not None, "orders": self.orders.as_dict(),
             "token": self._token(), "beat": self._beat_message(),
         }  # fmt: skip
 
@@ -233,7 +241,7 @@
         memory = self._memory
         pending = memory.pending.digest if memory.pending else ""
         ours = {"digest": memory.in_force.digest, "pending": pending, "orders": self.orders.revision}
-        return {"t": "beat"} | ours | self.gauges.beat()
+        return {"t": "beat"} | ours | self.status_source.heartbeat()
 
     async def _beat(self) -> None:
         while True:
@@ -262,14 +270,14 @@
                 "on_trial": memory.trial is not None, "settings": self._instance.configuration.values,
                 "pending": dict(memory.pending.values) if memory.pending else None, "failed": memory.reason,
             }  # fmt: skip
-            return {"data": await self.gauges.snapshot() | {"managed": managed}}
+            return {"data": await self.status_source.snapshot() | {"managed": managed}}
         if what == "roster":
             return {"data": await self._instance.roster_table()}
         if what == "would":
             values = message.get("values")
             if not isinstance(values, dict):
                 return {"error": "would it take what?"}
-            problems, restart = self._check(Held(0, digest(values), values))
+            problems, restart = self._check(Revision(0, digest(values), values))
             return {"data": {"problems": problems, "restart": restart}}
         if what == "overload":
             return {"data": await self._instance.overload_table()}
@@ -280,7 +288,7 @@
         if what == "ping":
             return {}
         if what == "logs":
-            return {"data": await self.gauges.logs()}
+            return {"data": await self.status_source.logs()}
         return {"error": f"nothing is known as {what:.40}"}
 
     def _behind(self, message: Message) -> str:
@@ -296,11 +304,11 @@
     async def _done(self, message: Message) -> str:
         """Carry out an order; empty, or why not."""
         what = message["what"]
-        if what in WORDS:  # also while it ends: the process after it is to have it
+        if what in STATE_ORDERS:  # also while it ends: the process after it is to have it
             if "orders" in message:
                 return await self._take_orders(message["orders"])
-            return await self._adopt_orders(self.orders.ordered(what, self.orders.revision))
-        if self._instance.ending:
+            return await self._adopt_orders(self.orders.with_order(what, self.orders.revision))
+        if self._instance.shutting_down:
             return "" if what == "restart" else "the sidecar is ending"
         return self._do_once(what)
 
@@ -309,13 +317,13 @@
         instance = self._instance
         match what:
             case "believe":
-                if reason := instance.order(what):
+                if reason := instance.order_roster(what):
                     return reason
             case "restart":
                 if not self._own.get("control.may_restart", False):
                     return "control.may_restart is not set: nothing would start this sidecar again"
                 log.info("%s restarts at the agent's word", self.name)
-                instance.end()
+                instance.begin_shutdown()
             case _:
                 return f"nothing is known as {what:.40}"
         log.info("%s: %s at the agent's word", self.name, what)
@@ -326,7 +334,7 @@
     async def _take_orders(self, table: Any) -> str:
         """Take up the state that the agent wants; empty, or why not. What is older than what is held is late."""
         try:
-            wanted = from_table(table)
+            wanted = from_dict(table)
         except ValueError as error:
             return str(error)
         if wanted.revision < self.orders.revision:
@@ -339,7 +347,7 @@
         if wanted == before:
             return ""
         if wanted.roster is not before.roster:
-            reason = self._instance.order(wanted.roster.value)
+            reason = self._instance.order_roster(wanted.roster.value)
             if reason and wanted.roster is not RosterMode.AUTO:  # without a roster there is nothing to undo
                 return reason
         self.orders = wanted
@@ -347,7 +355,7 @@
             await self._keep()
         except OSError as error:
             self.orders = before
-            self._instance.order(before.roster.value)
+            self._instance.order_roster(before.roster.value)
             return f"control.keep cannot be written: {error}"
         if wanted.draining:
             self._instance.drain(wanted.within_s)
@@ -358,21 +366,21 @@
         return ""
 
     async def _offered(self, message: Message) -> Message:
-        offered = Held(message["revision"], message["digest"], message["values"])
+        offered = Revision(message["revision"], message["digest"], message["values"])
         problems, restart = self._check(offered)
         before = self._memory
         memory, step, reply = revisions.offer(before, offered, problems, restart)
-        if step is not Step.NOTHING:
+        if step is not Action.NONE:
             try:
                 self._memory = memory
                 await self._keep()
-                if step is Step.APPLY:
-                    self._instance.manage(dict(offered.values))
+                if step is Action.APPLY:
+                    self._instance.apply_managed(dict(offered.values))
                     self._prove_later()
             except (OSError, ConfigError) as error:
                 self._memory = before
                 refusal = {"key": "control.keep", "value": None, "reason": str(error), "remedy": ""}
-                reply = revisions.Reply("refused", offered, (refusal,))
+                reply = revisions.OfferResult("refused", offered, (refusal,))
         log.info("revision %d: %s", offered.revision, reply.outcome)
         return {
             "t": "ack", "revision": offered.revision, "digest": offered.digest, "outcome": reply.outcome,
@@ -380,15 +388,15 @@
             "keeps": self._path is not None,
         }  # fmt: skip
 
-    def _check(self, offered: Held) -> tuple[list[dict[str, Any]], list[str]]:
+    def _check(self, offered: Revision) -> tuple[list[dict[str, Any]], list[str]]:
         """What is wrong with an offer here, and what of it would take a restart."""
         from covetally.operator import check
 
         try:
-            values = check.checked(offered.values, managed=True)
+            values = check.validate(offered.values, managed=True)
             self._instance.configuration.try_managed(values)
         except check.OperatorError as error:
-            return [p.table() for p in error.problems], []
+            return [p.as_dict() for p in error.problems], []
         if digest(values) != offered.digest:
             return [{"key": "digest", "value": None, "reason": "is not of these settings", "remedy": ""}], []
         own = self._own
@@ -397,9 +405,9 @@
     async def _keep(self) -> None:
         if self._path is not None:
             async with self._writing:
-                await asyncio.to_thread(state_file.write, self._path, Kept(self._memory, self.orders))
+                await asyncio.to_thread(state_file.write, self._path, SavedState(self._memory, self.orders))
 
-    def _prove_later(self, after_s: float = revisions.PROVE_S) -> None:
+    def _prove_later(self, after_s: float = revisions.TRIAL_S) -> None:
         if self._proving is not None:
             self._proving.cancel()
         loop = asyncio.get_running_loop()
@@ -408,7 +416,7 @@
     async def _proven(self) -> None:
         """The revision on trial is good. Until that is kept a crash would count against it: it is tried again."""
         self._proving = None
-        self._memory = revisions.proven(self._memory)
+        self._memory = revisions.accept_trial(self._memory)
         try:
             await self._keep()
         except OSError as error:
--- a/covetally/control/orders.py
+++ b/covetally/control/orders.py
@@ -27,7 +27,7 @@
     within_s: float | None = None
     roster: RosterMode = RosterMode.AUTO
 
-    def ordered(self, word: str, revision: int, within_s: float | None = None) -> Orders:
+    def with_order(self, word: str, revision: int, within_s: float | None = None) -> Orders:
         """The state after one more order; ValueError if the word is none."""
         match word:
             case "drain":
@@ -38,23 +38,23 @@
                 return replace(self, revision=revision, roster=RosterMode(word))
         raise ValueError(f"no such order: {word:.40}")
 
-    def table(self) -> dict[str, Any]:
+    def as_dict(self) -> dict[str, Any]:
         """For the wire and for files."""
         return asdict(self) | {"roster": self.roster.value}
 
 
 NO_ORDERS = Orders()
-WORDS = ("drain", "resume", "hold", "auto")  # the orders that are states; all others are done once
+STATE_ORDERS = ("drain", "resume", "hold", "auto")  # the orders that are states; all others are done once
 
 
-def from_table(table: Any) -> Orders:
+def from_dict(as_dict: Any) -> Orders:
     """What `Orders.table` made; ValueError if it is none."""
     try:
-        revision, draining, within_s = table["revision"], table["draining"], table["within_s"]
+        revision, draining, within_s = as_dict["revision"], as_dict["draining"], as_dict["within_s"]
         if type(revision) is not int or revision < 0 or type(draining) is not bool:
-            raise ValueError(f"no orders: {table!r:.100}")
+            raise ValueError(f"no orders: {as_dict!r:.100}")
         if within_s is not None and (type(within_s) not in (int, float) or not 0 <= within_s < 1e9):
             raise ValueError(f"within_s is {within_s!r:.40}")
-        return Orders(revision, draining, within_s, RosterMode(table["roster"]))
+        return Orders(revision, draining, within_s, RosterMode(as_dict["roster"]))
     except (KeyError, TypeError) as error:
         raise ValueError(f"no orders: {type(error).__name__}: {error}") from None
--- a/covetally/control/protocol.py
+++ b/covetally/control/protocol.py
@@ -22,7 +22,7 @@
 
 VERSIONS = (1,)
 MAX_FRAME = 1024 * 1024
-HELLO_S = 5.0  # a link that has not said hello, or got its answer, for so long is ended
+HANDSHAKE_TIMEOUT_S = 5.0  # a link that has not said hello, or got its answer, for so long is ended
 
 Message = dict[str, Any]
 
--- a/covetally/control/reconnect.py
+++ b/covetally/control/reconnect.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-STOOD_S = 10.0  # a link that stood so long ends a row of failures
+STABLE_S = 10.0  # a link that stood so long ends a row of failures
 
 
-class Redial:
+class ReconnectBackoff:
     """Pauses that double from `least` to `most` seconds, each drawn from its upper half.
 
     Guards against thousands of sidecars that lost one agent together and would all come back together, and
@@ -13,17 +13,17 @@
     and the sidecar has drawn a long pause: it is unmanaged for that time, and serves on.
     """
 
-    def __init__(self, least: float, most: float) -> None:
-        self.least, self.most = least, most
+    def __init__(self, min_s: float, max_s: float) -> None:
+        self.min_s, self.max_s = min_s, max_s
         self._row = 0
 
-    def pause(self, chance: float) -> float:
+    def next_delay(self, chance: float) -> float:
         """Seconds until the next dial; `chance` is uniform in [0, 1)."""
-        top = min(self.most, self.least * 2.0 ** min(self._row, 40))
+        top = min(self.max_s, self.min_s * 2.0 ** min(self._row, 40))
         self._row += 1
         return top * (0.5 + 0.5 * chance)
 
-    def stood(self, seconds: float) -> None:
+    def record_uptime(self, seconds: float) -> None:
         """A link was up for so long."""
-        if seconds >= STOOD_S:
+        if seconds >= STABLE_S:
             self._row = 0
--- a/covetally/control/revisions.py
+++ b/covetally/control/revisions.py
@@ -23,11 +23,11 @@
 
 from covetally.control.protocol import digest
 
-PROVE_S = 10.0  # a revision that the process has lived with for so long is good
+TRIAL_S = 10.0  # a revision that the process has lived with for so long is good
 
 
 @dataclass(frozen=True, slots=True)
-class Held:
+class Revision:
     """A revision as this sidecar holds it: its number, its digest and its settings by dotted key."""
 
     revision: int
@@ -35,74 +35,78 @@
     values: Mapping[str, Any]
 
 
-NOTHING = Held(0, digest({}), {})
+NO_REVISION = Revision(0, digest({}), {})
 
 
 @dataclass(frozen=True, slots=True)
-class Memory:
+class RevisionState:
     """What outlives the process. `trial` is in force if it is there, else `good` is. `failed` is a revision that
     the process died with, and why it is held to have."""
 
-    good: Held = NOTHING
-    trial: Held | None = None
-    pending: Held | None = None
-    failed: Held | None = None
+    good: Revision = NO_REVISION
+    trial: Revision | None = None
+    pending: Revision | None = None
+    failed: Revision | None = None
     reason: str = ""
 
     @property
-    def in_force(self) -> Held:
+    def in_force(self) -> Revision:
         """What the process runs with."""
         return self.trial or self.good
 
 
-class Step(enum.Enum):
+class Action(enum.Enum):
     """What the shell has to do."""
 
-    NOTHING = "nothing"
-    KEEP = "keep"  # write the memory
+    NONE = "nothing"
+    SAVE = "keep"  # write the memory
     APPLY = "apply"  # write the memory, then put the new revision in force
 
 
 @dataclass(frozen=True, slots=True)
-class Reply:
+class OfferResult:
     """The answer to an offer. `outcome` is took, refused or needs_restart; `errors` tell why, `keys` which
     settings wait for a restart."""
 
     outcome: str
-    offered: Held
+    offered: Revision
     errors: tuple[dict[str, Any], ...] = ()
     keys: tuple[str, ...] = ()
 
 
 def offer(
-    memory: Memory, offered: Held, problems: Sequence[dict[str, Any]], restart_keys: Sequence[str]
-) -> tuple[Memory, Step, Reply]:
+    memory: RevisionState, offered: Revision, problems: Sequence[dict[str, Any]], restart_keys: Sequence[str]
+) -> tuple[RevisionState, Action, OfferResult]:
     """Decide on an offer. `problems` is why this sidecar cannot use it, empty if it can; `restart_keys` is what
     of it differs from what is in force and takes a restart."""
     now = memory.in_force
     if offered.digest != digest(offered.values):
-        return memory, Step.NOTHING, _refused(offered, "digest", "is not the settings'")
+        return memory, Action.NONE, _refused(offered, "digest", "is not the settings'")
     if offered.revision < now.revision:
-        return memory, Step.NOTHING, _refused(offered, "revision", f"is older than {now.revision}")
+        return memory, Action.NONE, _refused(offered, "revision", f"is older than {now.revision}")
     if problems:
-        return memory, Step.NOTHING, Reply("refused", offered, tuple(problems))
+        return memory, Action.NONE, OfferResult("refused", offered, tuple(problems))
     if offered.digest == now.digest:
         if memory.pending is None and offered.revision == now.revision:
-            return memory, Step.NOTHING, Reply("took", offered)
+            return memory, Action.NONE, OfferResult("took", offered)
         changed = replace(memory, pending=None, **{"trial" if memory.trial else "good": offered})
-        return changed, Step.KEEP, Reply("took", offered)
+        return changed, Action.SAVE, OfferResult("took", offered)
     if restart_keys:
-        step = Step.NOTHING if memory.pending == offered else Step.KEEP
-        return replace(memory, pending=offered), step, Reply("needs_restart", offered, keys=tuple(restart_keys))
+        step = Action.NONE if memory.pending == offered else Action.SAVE
+        return (
+            replace(memory, pending=offered),
+            step,
+            OfferResult("needs_restart", offered, keys=tuple(restart_keys)),
+        )
     changed = replace(memory, good=now, trial=offered, pending=None, failed=None, reason="")
-    return changed, Step.APPLY, Reply("took", offered)
+    return changed, Action.APPLY, OfferResult("took", offered)
 
 
-def _refused(offered: Held, key: str, reason: str) -> Reply:
-    return Reply("refused", offered, ({"key": key, "value": None, "reason": reason, "remedy": ""},))
+def _refused(offered: Revision, key: str, reason: str) -> OfferResult:
+    return OfferResult("refused", offered, ({"key": key, "value": None, "reason": reason, "remedy": ""},))
 
 
-def start(memory: Memory) -> Memory:
+def on_start(memory: RevisionState) -> RevisionState:
     """The memory of a process that starts: what its predecessor died with is out, what was pending is tried."""
     if memory.trial is not None:
         memory = replace(
@@ -115,22 +119,22 @@
     return memory
 
 
-def unusable(memory: Memory, reason: str) -> Memory:
+def reject_in_force(memory: RevisionState, reason: str) -> RevisionState:
     """At the start what is in force cannot be used: the trial is out, or else nothing managed holds at all."""
     if memory.trial is not None:
         return replace(memory, trial=None, failed=memory.trial, reason=reason)
-    return replace(memory, good=NOTHING, failed=memory.good, reason=reason)
+    return replace(memory, good=NO_REVISION, failed=memory.good, reason=reason)
 
 
-def proven(memory: Memory) -> Memory:
+def accept_trial(memory: RevisionState) -> RevisionState:
     """The process has lived with its trial for PROVE_S, or is told to end in good order."""
     return replace(memory, good=memory.in_force, trial=None)
 
 
-def to_table(memory: Memory) -> dict[str, Any]:
+def to_dict(memory: RevisionState) -> dict[str, Any]:
     """For the file that outlives the process."""
 
-    def held(value: Held | None) -> dict[str, Any] | None:
+    def held(value: Revision | None) -> dict[str, Any] | None:
         if value is None:
             return None
         return {"revision": value.revision, "digest": value.digest, "values": dict(value.values)}
@@ -141,13 +145,13 @@
     }  # fmt: skip
 
 
-def from_table(table: Any) -> Memory:
+def from_dict(table: Any) -> RevisionState:
     """The memory that a file holds; ValueError if it is none."""
 
-    def held(value: Any) -> Held | None:
+    def held(value: Any) -> Revision | None:
         if value is None:
             return None
-        found = Held(int(value["revision"]), str(value["digest"]), dict(value["values"]))
+        found = Revision(int(value["revision"]), str(value["digest"]), dict(value["values"]))
         if digest(found.values) != found.digest:
             raise ValueError("a digest does not fit its settings")
         return found
@@ -156,6 +160,6 @@
         if table["format"] != 1:
             raise ValueError(f"format {table['format']!r}, not 1")
         good, trial, pending, failed = (held(table[name]) for name in ("good", "trial", "pending", "failed"))
-        return Memory(good or NOTHING, trial, pending, failed, str(table["reason"]))
+        return RevisionState(good or NO_REVISION, trial, pending, failed, str(table["reason"]))
     except (KeyError, TypeError, AttributeError) as error:
         raise ValueError(f"{type(error).__name__}: {error}") from None
--- a/covetally/control/status.py
+++ b/covetally/control/status.py
@@ -17,16 +17,16 @@
     from covetally.net.sidecar import Sidecar
     from covetally.net.upstream import Upstream
 
-LINES = 100
-REFUSALS = (429, 503)
+MAX_LOG_LINES = 100
+REFUSED_STATUSES = (429, 503)
 
 
-class Ring(logging.Handler):
+class RecentLog(logging.Handler):
     """The last log lines, and the last of them that tell of trouble."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.lines: deque[dict[str, Any]] = deque(maxlen=LINES)
+        self.lines: deque[dict[str, Any]] = deque(maxlen=MAX_LOG_LINES)
         self.errors: deque[dict[str, Any]] = deque(maxlen=20)
 
     def emit(self, record: logging.LogRecord) -> None:
@@ -43,7 +43,7 @@
         """Its level and how many nodes it has."""
 
 
-class Measured(Protocol):
+class ObservedProcess(Protocol):
     """What of a sidecar is read. `roster` is None where the platform's list is believed at once."""
 
     config: Config
@@ -59,26 +59,26 @@
         """serving or draining."""
 
 
-class Gauges:
+class ProcessStatus:
     """Counts final answers by class, from `start` to `stop`."""
 
-    def __init__(self, process: Measured) -> None:
+    def __init__(self, process: ObservedProcess) -> None:
         self._process = process
         self._classes = [c.name for c in process.config.settings.classes]
         # served, refused, failed, the client left
         self._counts = [[0, 0, 0, 0] for _ in self._classes]
-        self.ring = Ring()
+        self.recent_log = RecentLog()
         self.started = time.time()
 
     def start(self) -> None:
         """Begin to count."""
         self._process.sidecar.on_final = self._final
-        logging.getLogger().addHandler(self.ring)
+        logging.getLogger().addHandler(self.recent_log)
 
     def stop(self) -> None:
         """Count no more."""
         self._process.sidecar.on_final = None
-        logging.getLogger().removeHandler(self.ring)
+        logging.getLogger().removeHandler(self.recent_log)
 
     def _final(self, cls: int, answer: HttpResponse | None) -> None:
         if answer is None:
@@ -86,7 +86,7 @@
         elif answer.status == 200:
             kind = 0
         else:
-            kind = 1 if answer.status in REFUSALS else 2
+            kind = 1 if answer.status in REFUSED_STATUSES else 2
         self._counts[cls][kind] += 1
 
     # --- what is told ---------------------------------------------------------------------------
@@ -95,7 +95,7 @@
         """By class: [served, refused, failed, left] since the start."""
         return dict(zip(self._classes, map(list, self._counts), strict=True))
 
-    def beat(self) -> dict[str, Any]:
+    def heartbeat(self) -> dict[str, Any]:
         """What goes with every heartbeat. The worst lag is of the time since the last one."""
         process = self._process
         return {
@@ -108,12 +108,12 @@
 
     async def logs(self) -> list[dict[str, Any]]:
         """The last log lines, oldest first."""
-        return list(self.ring.lines)
+        return list(self.recent_log.lines)
 
     async def snapshot(self) -> dict[str, Any]:
         """All there is to tell."""
         process, config = self._process, self._process.config
-        return self.beat() | {
+        return self.heartbeat() | {
             "pid": os.getpid(),
             "started": self.started,
             "memory_kib": _resident_kib(),
@@ -142,7 +142,7 @@
             "held_up": {"count": process.monitor.held_up, "longest_s": round(process.monitor.longest_s, 3)},
             "violations": process.sidecar.violations.table(),
             "closed": {reason.value: count for reason, count in process.frontend.closed.items()},
-            "errors": list(self.ring.errors),
+            "errors": list(self.recent_log.errors),
         }  # fmt: skip
 
 
--- a/covetally/drainplan/run.py
+++ b/covetally/drainplan/run.py
@@ -101,7 +101,7 @@
         try:
             wave = plan(account, [u for u in self.left if account.entry(u).state is State.IN], now).waves[0]
         except (FloorError, PodError) as error:
-            self.phase, self.reason = Phase.WAITING, error.what
+            self.phase, self.reason = Phase.WAITING, error.message
             return []
         except IndexError:
             self.phase, self.reason = Phase.WAITING, f"not in now: {', '.join(self.left[:5])}"
--- a/covetally/errors/__init__.py
+++ b/covetally/errors/__init__.py
@@ -17,19 +17,19 @@
     status = 500
     exit_status = 1
 
-    def __init__(self, what: str = "", remedy: str = "") -> None:
-        super().__init__(what)
-        self.what = what
+    def __init__(self, message: str = "", remedy: str = "") -> None:
+        super().__init__(message)
+        self.message = message
         if remedy:
             self.remedy = remedy
 
-    def table(self) -> dict[str, str]:
+    def as_dict(self) -> dict[str, str]:
         """For the API and --json."""
-        return {"code": self.code, "error": self.what, "remedy": self.remedy}
+        return {"code": self.code, "error": self.message, "remedy": self.remedy}
 
-    def line(self) -> str:
+    def as_line(self) -> str:
         """For the command and the log, in one line."""
-        return f"{self.what} [{self.code}]: {self.remedy}"
+        return f"{self.message} [{self.code}]: {self.remedy}"
 
 
 class ConfigurationError(CindersailError):
--- a/covetally/fleet/agent.py
+++ b/covetally/fleet/agent.py
@@ -301,7 +301,7 @@
             try:
                 self._recover_from(reports)
             except CannotKeepError as error:  # nobody may change anything until it is kept
-                log.error("%s", error.line())
+                log.error("%s", error.as_line())
                 self._recover_until = self._now() + KEEP_AGAIN_S
                 asyncio.get_running_loop().call_later(KEEP_AGAIN_S, self._recover)
                 return
@@ -359,7 +359,7 @@
                 self._save()
         except CannotKeepError as error:
             if not self._cannot_keep:
-                log.error("%s", error.line())
+                log.error("%s", error.as_line())
             self._cannot_keep = True
             loop = asyncio.get_running_loop()
             self._flush_timer = loop.call_later(KEEP_AGAIN_S, self._try_to_flush)
--- a/covetally/fleet/api.py
+++ b/covetally/fleet/api.py
@@ -67,7 +67,9 @@
     except Refused as error:
         return failure(error)
     except CindersailError as error:
-        return web.json_response(error.table() | {"error": error.code, "text": error.line()}, status=error.status)
+        return web.json_response(
+            error.as_dict() | {"error": error.code, "text": error.as_line()}, status=error.status
+        )
     except web.HTTPException as error:
         return web.json_response({"error": "http", "text": error.reason}, status=error.status)
     except asyncio.CancelledError:
--- a/covetally/fleet/asks.py
+++ b/covetally/fleet/asks.py
@@ -8,7 +8,7 @@
 from dataclasses import replace
 from typing import Any
 
-from covetally.control.orders import WORDS, RosterMode
+from covetally.control.orders import STATE_ORDERS, RosterMode
 from covetally.control.protocol import Message
 from covetally.fleet.orders import Command, OrderBook
 from covetally.fleet.refused import Refused
@@ -59,7 +59,7 @@
     async def do(self, instance: Instance, command: Command) -> dict[str, Any]:
         """Have it do as an operator says; what it answered. What is a state is kept first, and holds for an
         instance that is away once it comes."""
-        kept = command.word in WORDS
+        kept = command.word in STATE_ORDERS
         try:
             error = await (self._order(instance, command) if kept else self._once(instance, command))
         except Refused as refused:
@@ -73,7 +73,7 @@
             return ""
         before = self._orders.of(name)
         try:
-            if what in WORDS:
+            if what in STATE_ORDERS:
                 return await self._order(instance, Command(what, why="a drain order"), epoch=epoch)
             return await self._told(instance, what, epoch=epoch)
         except Refused as error:
@@ -87,7 +87,7 @@
         """Keep a state and tell it; as `_told`. What the instance refuses is not wanted any more."""
         name, before = instance.name, self._orders.of(instance.name)
         wanted = self._orders.order(name, command, self._clock.now())
-        problem = await self._told(instance, command.word, orders=wanted.table(), **more)
+        problem = await self._told(instance, command.word, orders=wanted.as_dict(), **more)
         if problem:
             self._orders.withdraw(name, wanted, before, self._clock.now())
         return problem
@@ -114,7 +114,7 @@
         try:
             wanted = self._orders.of(instance.name)
             word = "drain" if wanted.draining else "resume"  # all that a version without orders understands
-            await self._told(instance, word, orders=wanted.table())
+            await self._told(instance, word, orders=wanted.as_dict())
         except Refused as error:
             log.warning("%s was not told what is wanted of it: %s", instance.name, error)
         finally:
--- a/covetally/fleet/drafts.py
+++ b/covetally/fleet/drafts.py
@@ -98,16 +98,16 @@
 
     def _checked(self, layer: Mapping[str, Any]) -> Values:
         try:
-            return check.checked(layer, managed=True)
+            return check.validate(layer, managed=True)
         except check.OperatorError as error:
             text = "; ".join(map(str, error.problems))
-            raise Refused("bad_input", text, problems=[p.table() for p in error.problems]) from None
+            raise Refused("bad_input", text, problems=[p.as_dict() for p in error.problems]) from None
 
     def _check_effective(self, made: Document) -> None:
         """Layers that will do alone may not do together."""
         for instance in self._instances.values():
             try:
-                check.checked(made.effective(instance.name, instance.labels), managed=True)
+                check.validate(made.effective(instance.name, instance.labels), managed=True)
             except check.OperatorError as error:
                 raise Refused("bad_input", f"for {instance.name}: {error.problems[0]}") from None
 
--- a/covetally/fleet/drains.py
+++ b/covetally/fleet/drains.py
@@ -239,7 +239,7 @@
                 self._act(now, run, account)
             self._save_changes()
         except CannotKeepError as error:  # nothing is told that is not on disk; the next look writes it
-            log.warning("%s", error.line())
+            log.warning("%s", error.as_line())
             return
         self._tell()
         if time.monotonic() - self._line_at >= LINE_S:
@@ -259,7 +259,7 @@
             try:
                 self.permits.give(now, account, unit, run.who, f"order {run.number}: {self.wanted.what}")
             except PermitError as error:
-                run.reason = error.what
+                run.reason = error.message
                 break
             run.gone(unit)
             self._boots[unit] = self._hands.instances[unit].boot
@@ -314,7 +314,7 @@
         try:
             denied = await self._hands.step(unit, self.wanted.what, self.permits.epoch)
         except CannotKeepError as error:
-            denied = error.line()
+            denied = error.as_line()
         if denied and self.run is not None:
             self._told.discard(number)
             self.permits.take_back(self._clock.now(), self.account, unit, denied)
--- a/covetally/fleet/links.py
+++ b/covetally/fleet/links.py
@@ -1,8 +1,8 @@
 """The links that instances hold to the agent: let in, greeted, bounded, ended.
 
-Nobody here trusts an instance. A link that says nothing is ended after HELLO_S, and of those that have said
-nothing only so many are held; one that sends what cannot be read, too much or too fast, or does not read what it
-is sent, is ended; none of them can hold up another.
+Nobody here trusts an instance. A link that says nothing is ended after HANDSHAKE_TIMEOUT_S, and of those that
+have said nothing only so many are held; one that sends what cannot be read, too much or too
+fast, or does not read what it is sent, is ended; none of them can hold up another.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from typing import Any, Protocol
 
 from covetally.control.orders import NO_ORDERS, Orders
-from covetally.control.protocol import HELLO_S, Decoder, Message, ProtocolError, encode, pick_version
+from covetally.control.protocol import HANDSHAKE_TIMEOUT_S, Decoder, Message, ProtocolError, encode, pick_version
 
 log = logging.getLogger(__name__)
 
@@ -57,7 +57,7 @@
         self._transport = transport
         loop = asyncio.get_running_loop()
         self._allowed_at = loop.time()
-        self._timer = loop.call_later(HELLO_S, self.end, "said no hello in time")
+        self._timer = loop.call_later(HANDSHAKE_TIMEOUT_S, self.end, "said no hello in time")
         self._links.came(self)
 
     def data_received(self, data: bytes) -> None:
@@ -99,7 +99,7 @@
         self._links.greeted(self)
         if self._timer is not None:
             self._timer.cancel()
-        wanted = {"orders": orders.table()} if orders.revision else {}
+        wanted = {"orders": orders.as_dict()} if orders.revision else {}
         self.send({"t": "welcome", "version": self.hello["picked"]} | wanted)
 
     def deny(self, reason: str) -> None:
--- a/covetally/fleet/orders.py
+++ b/covetally/fleet/orders.py
@@ -46,7 +46,7 @@
 
     def table(self) -> dict[str, Any]:
         """For the store and the API."""
-        return self.state.table() | {"who": self.who, "at": self.at, "why": self.why}
+        return self.state.as_dict() | {"who": self.who, "at": self.at, "why": self.why}
 
 
 class OrderBook:
@@ -56,7 +56,7 @@
         self._store = store
         kept = json.loads(store.get(KEPT) or "{}")
         self._ordered = {
-            name: Ordered(orders.from_table(row), str(row["who"]), float(row["at"]), str(row["why"]))
+            name: Ordered(orders.from_dict(row), str(row["who"]), float(row["at"]), str(row["why"]))
             for name, row in kept.items()
         }
         self._highest = max((ordered.state.revision for ordered in self._ordered.values()), default=0)
@@ -73,7 +73,7 @@
 
     def order(self, name: str, command: Command, at: float) -> Orders:
         """One more order, on disk when this returns; CannotKeepError, and nothing changed, if it cannot be."""
-        state = self.of(name).ordered(command.word, self._highest + 1, command.within_s)
+        state = self.of(name).with_order(command.word, self._highest + 1, command.within_s)
         self._write({name: Ordered(state, command.who, at, command.why)})
         return state
 
@@ -88,7 +88,7 @@
         if not isinstance(table, Mapping):
             return  # of a version that keeps no orders
         try:
-            state = orders.from_table(table)
+            state = orders.from_dict(table)
         except ValueError as error:
             log.warning("%s: %s", name, error)
             return
--- a/covetally/operator/check.py
+++ b/covetally/operator/check.py
@@ -33,7 +33,7 @@
         remedy = f"; {self.remedy}" if self.remedy else ""
         return f"{self.key}{value}: {self.reason}{remedy}"
 
-    def table(self) -> dict[str, Any]:
+    def as_dict(self) -> dict[str, Any]:
         """For --json and the wire."""
         value = self.value if isinstance(self.value, str | int | float | bool | None) else str(self.value)
         return {"key": self.key, "value": value, "reason": self.reason, "remedy": self.remedy}
@@ -60,10 +60,10 @@
         document = tomllib.loads(data.decode())
     except (OSError, ValueError, RecursionError) as error:  # TOMLDecodeError and UnicodeDecodeError too
         raise OperatorError([Problem(str(path), None, f"cannot be read: {error}")]) from None
-    return checked(dict(schema.flatten(document)))
+    return validate(dict(schema.flatten(document)))
 
 
-def checked(flat: Mapping[str, Any], managed: bool = False) -> Values:
+def validate(flat: Mapping[str, Any], managed: bool = False) -> Values:
     """The values, if all of them will do; else OperatorError with every mistake.
 
     With `managed` only what an agent may set will do.
@@ -72,7 +72,7 @@
     if not problems:
         problems = _together(flat)
     if not problems and not managed:  # an agent's values stand on those of the file
-        problems = needs(flat)
+        problems = missing_requirements(flat)
     if problems:
         raise OperatorError(problems)
     return {name: _canonical(name, value) for name, value in sorted(flat.items())}
@@ -92,8 +92,8 @@
         return Problem(name, value, "no such key", f"the nearest is {near[0]}" if near else "")
     if managed and not key.managed:
         return Problem(name, value, "cannot be set by an agent", "set it in the sidecar's own file")
-    if not key.fits(value):
-        return Problem(name, value, "will not do", f"it has to be {key.wants()}")
+    if not key.accepts(value):
+        return Problem(name, value, "will not do", f"it has to be {key.describe_accepted()}")
     return None
 
 
@@ -115,7 +115,7 @@
     return problems
 
 
-def needs(flat: Mapping[str, Value]) -> list[Problem]:
+def missing_requirements(flat: Mapping[str, Value]) -> list[Problem]:
     """What is asked for, but not all that it takes."""
     problems = []
 
@@ -148,7 +148,7 @@
     return problems
 
 
-def apply(settings: Settings, values: Mapping[str, Value]) -> Settings:
+def apply_settings(settings: Settings, values: Mapping[str, Value]) -> Settings:
     """The platform's settings with the operators' in their place; OperatorError where the two disagree."""
     problems: list[Problem] = []
     classes = {c.name: c for c in settings.classes}
@@ -157,7 +157,7 @@
             continue
         key = schema.find(name)
         assert key is not None
-        cls = classes.get(schema.free_part(key, name))
+        cls = classes.get(schema.wildcard_part(key, name))
         if cls is None:
             known = ", ".join(sorted(classes))
             problems.append(Problem(name, value, "this sidecar has no such class", f"it has {known}"))
--- a/covetally/operator/example.py
+++ b/covetally/operator/example.py
@@ -64,7 +64,7 @@
         default = _default(key)
         how = "now" if key.live else "restart"
         mine = "" if key.managed else ", this file only"
-        parts.append(f"# {key.text}; default: {key.default} ({how}{mine})\n# {name} = {default}\n")
+        parts.append(f"# {key.description}; default: {key.default} ({how}{mine})\n# {name} = {default}\n")
     return "".join(parts)
 
 
--- a/covetally/operator/overrides.py
+++ b/covetally/operator/overrides.py
@@ -6,7 +6,7 @@
 from typing import Any, Protocol
 
 from covetally.interface import Settings
-from covetally.operator.check import OperatorError, Problem, apply, needs
+from covetally.operator.check import OperatorError, Problem, apply_settings, missing_requirements
 from covetally.operator.schema import Value
 
 _PLAIN = {
@@ -18,10 +18,10 @@
 _ADDRESSES = {"discovery.address": "discovery", "process.listen": "listen"}
 
 
-SPARE = 0.05  # of the descriptors: the listener, discovery, the agent, files
+RESERVED_FRACTION = 0.05  # of the descriptors: the listener, discovery, the agent, files
 
 
-class Platform(Protocol):
+class PlatformConfig(Protocol):
     """What of the platform's configuration the operators' settings are held against."""
 
     settings: Settings
@@ -30,10 +30,10 @@
     server_connections: int
 
 
-def changes(platform: Platform, values: Mapping[str, Value]) -> dict[str, Any]:
+def config_overrides(platform: PlatformConfig, values: Mapping[str, Value]) -> dict[str, Any]:
     """The configuration's fields that the values replace, by name; OperatorError where they do not fit the
     platform's."""
-    if problems := needs(values):
+    if problems := missing_requirements(values):
         raise OperatorError(problems)
     _check_descriptors(platform, values)
     changed: dict[str, Any] = {field: values[key] for key, field in _PLAIN.items() if key in values}
@@ -43,16 +43,16 @@
             changed[field] = (host, int(port))
     if "limits.body_memory_kib" in values:
         changed["body_memory"] = int(values["limits.body_memory_kib"]) * 1024
-    changed["settings"] = apply(platform.settings, values)
+    changed["settings"] = apply_settings(platform.settings, values)
     return changed
 
 
-def _check_descriptors(platform: Platform, values: Mapping[str, Value]) -> None:
+def _check_descriptors(platform: PlatformConfig, values: Mapping[str, Value]) -> None:
     """Connections of both kinds have to fit into the descriptors: past them neither side could be served."""
     clients, servers = "limits.client_connections", "limits.server_connections"
     wanted = int(values.get(clients, platform.client_connections))
     others = int(values.get(servers, platform.server_connections))
-    most = int(platform.sockets * (1.0 - SPARE))
+    most = int(platform.sockets * (1.0 - RESERVED_FRACTION))
     if wanted + others > most and (clients in values or servers in values):
         name = clients if clients in values else servers
         reason = f"with {others if name == clients else wanted} on the other side is more than fits"
--- a/covetally/operator/schema.py
+++ b/covetally/operator/schema.py
@@ -17,8 +17,8 @@
 Values = dict[str, Value]
 """Checked settings by dotted key. The canonical form: two documents that mean the same are equal."""
 
-RATE, IN_FLIGHT = "tier.rate_per_s.", "tier.in_flight."  # before a workshop's name
-CAPS_CLIENT, CAPS_NODE = "caps.client.", "caps.node."  # the same
+TIER_RATE_PREFIX, TIER_IN_FLIGHT_PREFIX = "tier.rate_per_s.", "tier.in_flight."  # before a workshop's name
+CAPS_CLIENT_PREFIX, CAPS_NODE_PREFIX = "caps.client.", "caps.node."  # the same
 
 _ADDRESS = re.compile(r"(\d{1,3})\.(\d{1,3})\.(\d{1,3})\.(\d{1,3}):(\d{1,5})")
 _ENDPOINT = re.compile(r"unix:/.+|tcp:\d{1,3}(\.\d{1,3}){3}:\d{1,5}")
@@ -36,21 +36,21 @@
 
     name: str
     kind: str
-    text: str
+    description: str
     default: str = "the platform's"
-    least: float | None = None
-    most: float | None = None
-    words: tuple[str, ...] = ()
+    minimum: float | None = None
+    maximum: float | None = None
+    choices: tuple[str, ...] = ()
     live: bool = True
     managed: bool = True
 
-    def wants(self) -> str:
+    def describe_accepted(self) -> str:
         """What a value has to be, in words."""
         if self.kind == "word":
-            return "one of " + ", ".join(self.words)
+            return "one of " + ", ".join(self.choices)
         if self.kind in ("whole", "number"):
             what = "a whole number" if self.kind == "whole" else "a number"
-            return f"{what} from {self.least:g} to {self.most:g}"
+            return f"{what} from {self.minimum:g} to {self.maximum:g}"
         return {
             "switch": "true or false",
             "name": "a name of letters, digits, '.', '_' or '-', at most 63",
@@ -61,20 +61,20 @@
             "urls": "http://A.B.C.D:PORT/PATH, or several with commas between",
         }[self.kind]
 
-    def fits(self, value: Any) -> bool:
+    def accepts(self, value: Any) -> bool:
         """Whether a value is of this key's kind and within its bounds."""
         if self.kind in ("whole", "number"):
             kinds = int if self.kind == "whole" else (int, float)
             if not isinstance(value, kinds) or isinstance(value, bool):
                 return False
-            assert self.least is not None and self.most is not None
-            return self.least <= value <= self.most
+            assert self.minimum is not None and self.maximum is not None
+            return self.minimum <= value <= self.maximum
         if self.kind == "switch":
             return isinstance(value, bool)
         if not isinstance(value, str):
             return False
         if self.kind == "word":
-            return value in self.words
+            return value in self.choices
         if self.kind == "address":
             return _is_address(value)
         if self.kind == "endpoint":
@@ -102,7 +102,7 @@
 
 
 KEYS: tuple[Key, ...] = (
-    Key("log.level", "word", "what is logged", "info", words=("debug", "info", "warning", "error")),
+    Key("log.level", "word", "what is logged", "info", choices=("debug", "info", "warning", "error")),
     Key("limits.client_connections", "whole", "connections that clients may hold",
         "half of the descriptors", 8, 100_000),
     Key("limits.server_connections", "whole", "connections to nodes",
@@ -110,21 +110,21 @@
     Key("limits.body_memory_kib", "whole", "memory for request bodies on their way in, all together",
         "an eighth of the memory", 64, 4_194_304),
     Key("limits.max_attempts", "whole", "attempts of one request, at most what the platform allows",
-        least=1, most=100),
+        minimum=1, maximum=100),
     Key("limits.connect_timeout_ms", "number", "how long a connection to a node may take to come up",
-        least=1, most=60_000),
+        minimum=1, maximum=60_000),
     Key("limits.max_retry_after_ms", "number", "the longest time to come back that a refusal names",
-        least=0, most=600_000),
+        minimum=0, maximum=600_000),
     Key("classes.*.aim_ms", "number", "an answer to this class counts within this time",
-        least=1, most=600_000),
+        minimum=1, maximum=600_000),
     Key("classes.*.deadline_ms", "number",
         "the longest that a request of this class is worked for, at most what the platform says",
-        least=1, most=600_000),
+        minimum=1, maximum=600_000),
     Key("discovery.address", "address", "where the list of nodes is asked for"),
     Key("roster.source", "word", "who lists the nodes; off: the platform, believed at once",
-        "off", words=("off", "platform", "eureka", "file")),
+        "off", choices=("off", "platform", "eureka", "file")),
     Key("roster.compare", "word", "a second source that is only compared with the first",
-        "none", words=("none", "platform", "eureka", "file")),
+        "none", choices=("none", "platform", "eureka", "file")),
     Key("roster.share", "number", "a read that lacks more of the nodes than this share is doubted",
         "0.25", 0, 1),
     Key("roster.hold_s", "number", "the longest that anything is held against the source's word",
@@ -140,11 +140,11 @@
     Key("eureka.name", "name",
         "the application, or with read = vip the VIP, whose instances are the nodes", "none"),
     Key("eureka.read", "word", "what is asked for: one application, one VIP, or all of them with deltas",
-        "app", words=("app", "vip", "all")),
+        "app", choices=("app", "vip", "all")),
     Key("eureka.poll_s", "number", "how often it is asked", "5", 0.05, 3600),
     Key("eureka.timeout_s", "number", "how long one answer may take, all of it", "3", 0.05, 600),
     Key("eureka.format", "word", "what answers are asked for in; xml takes the extra 'eureka'", "json",
-        words=("json", "xml")),
+        choices=("json", "xml")),
     Key("eureka.max_mib", "whole", "the longest answer, unzipped", "32", 1, 1024),
     Key("eureka.credentials_file", "path", "a file whose first line is USER:PASSWORD", "none", managed=False),
     Key("eureka.metadata.zone", "name", "the metadata that names a node's zone", "zone"),
@@ -164,7 +164,7 @@
     Key("register.renew_s", "number", "how often the lease is renewed", "30", 0.1, 3600, live=False),
     Key("register.lease_s", "number", "how long the lease lasts without", "90", 0.3, 36_000, live=False),
     Key("tier.mode", "word", "whether the sidecars tell each other who is there and what they make of nodes",
-        "off, on with a limit", words=("on", "off")),
+        "off, on with a limit", choices=("on", "off")),
     Key("tier.lease_s", "number", "how long a sidecar may use what another has lent it of a limit", "4", 0.6, 60),
     Key("tier.delay_ms", "number", "the longest that a datagram takes between sidecars", "50", 0.1, 10_000),
     Key("tier.burst_s", "number", "how long a rate may be saved up, one call at least", "1", 0.01, 60),
@@ -173,7 +173,7 @@
     Key("tier.in_flight.*", "whole", "calls in flight that all sidecars together let a workshop have",
         "none", 1, 1_000_000),
     Key("overload.mode", "word", "whether the sidecars draw one line, past which requests are refused",
-        "off", words=("on", "off")),
+        "off", choices=("on", "off")),
     Key("overload.pin", "pin", "a hand on the line for a time: pin, most or least, a rung, seconds", "none"),
     Key("overload.trials_per_s", "number", "trials of one node a second, by all sidecars together; 0: no bound",
         "8", 0, 1000),
@@ -185,7 +185,7 @@
     Key("caps.node.*", "whole", "connections to nodes that all sidecars together use for a workshop at a time",
         "none", 0, 1_000_000),
     Key("caps.mode", "word", "when a unit of a silent sidecar is lent again: after its lease, or never",
-        "lapses", words=("lapses", "never")),
+        "lapses", choices=("lapses", "never")),
     Key("caps.lease_s", "number", "how long a sidecar may use a unit without its home's word", "4", 1, 60),
     Key("process.listen", "address", "where clients connect", live=False),
     Key("process.backlog", "whole", "connections that may wait to be let in", "4096", 16, 65_535, live=False),
@@ -221,12 +221,12 @@
     for pattern in (f"{head}.*", f"{head.partition('.')[0]}.*.{last}"):
         # The free part may hold dots itself; every pattern has exactly one.
         key = _BY_NAME.get(pattern)
-        if key is not None and _free_part(key.name, name):
+        if key is not None and _match_wildcard(key.name, name):
             return key
     return None
 
 
-def _free_part(pattern: str, name: str) -> str:
+def _match_wildcard(pattern: str, name: str) -> str:
     """What stands in a name for the pattern's `*`, empty if it does not match."""
     before, _, after = pattern.partition("*")
     if len(name) <= len(before) + len(after) or not (name.startswith(before) and name.endswith(after)):
@@ -234,9 +234,9 @@
     return name[len(before) : len(name) - len(after)]
 
 
-def free_part(key: Key, name: str) -> str:
+def wildcard_part(key: Key, name: str) -> str:
     """The free part of a name that belongs to `key`: the class's name, the label's name."""
-    return _free_part(key.name, name)
+    return _match_wildcard(key.name, name)
 
 
 def flatten(document: Mapping[str, Any], before: str = "") -> Iterator[tuple[str, Any]]:
--- a/covetally/overload/settings.py
+++ b/covetally/overload/settings.py
@@ -33,7 +33,7 @@
         try:
             parse(pin, 0)
         except BadPin as error:
-            problems.append(Problem("overload.pin", pin, error.what, error.remedy))
+            problems.append(Problem("overload.pin", pin, error.message, error.remedy))
     if values.get("workers.count", 1) != 1:
         reason = "only one process hears the others: each worker would draw a line of its own"
         problems.append(Problem("workers.count", values["workers.count"], reason, "1, or overload.mode = 'off'"))
--- a/covetally/process.py
+++ b/covetally/process.py
@@ -34,7 +34,7 @@
 from covetally.signals import SignalHandlers
 
 if TYPE_CHECKING:
-    from covetally.control.status import Gauges
+    from covetally.control.status import ProcessStatus
     from covetally.control.instance import Instance
     from covetally.control.manager import Manager
     from covetally.membership.register import Registrar
@@ -102,15 +102,15 @@
         return self.frontend.state
 
     @property
-    def ending(self) -> bool:
+    def shutting_down(self) -> bool:
         """Whether it has been told to end."""
         return self.stop.is_set()
 
-    def gauges(self) -> Gauges:
+    def status_source(self) -> ProcessStatus:
         """What tells of it."""
-        from covetally.control.status import Gauges
+        from covetally.control.status import ProcessStatus
 
-        return Gauges(self)
+        return ProcessStatus(self)
 
     def drain(self, within_s: float | None) -> None:
         """Tell clients to stay away, and hold none of them after so many seconds."""
@@ -124,18 +124,18 @@
         """Refuse clients from the start on, until `resume`."""
         self.frontend.start_drained()
 
-    def end(self) -> None:
+    def begin_shutdown(self) -> None:
         """Drain and end."""
         self.stop.set()
 
-    def order(self, what: str) -> str:
+    def order_roster(self, what: str) -> str:
         """An order to the roster; empty, or why not."""
         if self.roster is None:
             return NO_ROSTER
         self.roster.order(what)
         return ""
 
-    def manage(self, managed: Values) -> None:
+    def apply_managed(self, managed: Values) -> None:
         """Take up what the agent has set, in place of what it had; ConfigError, and nothing changed, if this
         sidecar cannot use it."""
         self.configuration.manage(managed)
@@ -341,7 +341,7 @@
         if self.registrar is not None:
             await self.registrar.stop(cancel=not alone)
         if self.manager is not None:
-            self.manager.goodbye()
+            self.manager.announce_shutdown()
         await self.frontend.shut_down(self.configuration.shutdown.closed_s, accept=not alone)
         self.monitor.stop()
         self.discovery.stop()
--- a/covetally/tier/settings.py
+++ b/covetally/tier/settings.py
@@ -7,7 +7,7 @@
 
 from covetally.interface import SECOND, Settings
 from covetally.operator.check import OperatorError, Problem
-from covetally.operator.schema import IN_FLIGHT, RATE, Value
+from covetally.operator.schema import TIER_IN_FLIGHT_PREFIX, TIER_RATE_PREFIX, Value
 from covetally.tier.limits import Rule
 from covetally.tier.node import LOANS_NS, Site
 from covetally.tier.shell import Held
@@ -43,7 +43,7 @@
     linger_ns = max(c.deadline_ns for c in settings.classes) + SPARE_NS
     held = []
     for name, value in sorted(values.items()):
-        prefix = next((p for p in (RATE, IN_FLIGHT) if name.startswith(p)), None)
+        prefix = next((p for p in (TIER_RATE_PREFIX, TIER_IN_FLIGHT_PREFIX) if name.startswith(p)), None)
         if prefix is None:
             continue
         tenant = name.removeprefix(prefix)
@@ -51,7 +51,7 @@
             known = ", ".join(sorted(tenants)) or "none"
             problems.append(Problem(name, value, "the platform names no such workshop", f"it names {known}"))
             continue
-        in_flight = prefix == IN_FLIGHT
+        in_flight = prefix == TIER_IN_FLIGHT_PREFIX
         rule = Rule(
             name=name, amount=float(value), members=peers, lease_ns=int(lease_s * SECOND),
             linger_ns=linger_ns if in_flight else 0, in_flight=in_flight,
--- a/covetally/workers/member.py
+++ b/covetally/workers/member.py
@@ -17,7 +17,7 @@
 from typing import TYPE_CHECKING
 
 from covetally.configuration import Configuration
-from covetally.control.status import Gauges
+from covetally.control.status import ProcessStatus
 from covetally.control.protocol import Message
 from covetally.logs import set_up
 from covetally.net.config import Config, ConfigError
@@ -79,7 +79,7 @@
         self._begun: asyncio.Future[Message] = asyncio.get_running_loop().create_future()
         self._early: list[Message] = []
         self._process: Process | None = None
-        self._gauges: Gauges
+        self._gauges: ProcessStatus
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def run(self, channel: socket.socket) -> None:
@@ -92,7 +92,7 @@
         if first["values"]:
             configuration.manage(first["values"])
         self._process = process = Process(configuration, member)
-        self._gauges = process.gauges()
+        self._gauges = process.status_source()
         process.on_ready = self._up
         if first["drained"]:
             process.start_drained()
@@ -109,7 +109,7 @@
 
     def _beat(self) -> None:
         assert self._process is not None
-        self._channel.send("alive", beat=self._gauges.beat())
+        self._channel.send("alive", beat=self._gauges.heartbeat())
         every_s = float(self._process.values.get("workers.hang_s", HANG_S)) / BEATS
         asyncio.get_running_loop().call_later(every_s, self._beat)
 
@@ -117,7 +117,7 @@
         log.error("the supervisor is gone: this worker drains and ends")
         if self._process is None:
             os._exit(1)  # nothing was taken yet
-        self._process.end()
+        self._process.begin_shutdown()
 
     def _heard(self, message: Message) -> None:
         if not self._begun.done():
@@ -136,7 +136,7 @@
                 process.reshape()
             case "manage":
                 try:
-                    process.manage(message["values"])
+                    process.apply_managed(message["values"])
                 except ConfigError as error:  # the supervisor has checked it: the file has changed in between
                     log.error("%s: the old configuration stays", error)
             case "reload":
@@ -146,10 +146,10 @@
             case "resume":
                 process.resume()
             case "order":
-                process.order(message["what"])
+                process.order_roster(message["what"])
             case "end":
                 member.alone = not message["whole"]
-                process.end()
+                process.begin_shutdown()
             case "ask":
                 task = asyncio.create_task(self._answer(message["id"], message["what"]))
                 self._tasks.add(task)
--- a/covetally/workers/supervisor.py
+++ b/covetally/workers/supervisor.py
@@ -19,7 +19,7 @@
 from typing import TYPE_CHECKING, Any
 
 from covetally.configuration import NO_ROSTER, Configuration
-from covetally.control.status import Ring
+from covetally.control.status import RecentLog
 from covetally.control.protocol import Message
 from covetally.loop_monitor import LoopMonitor
 from covetally.net.config import ConfigError
@@ -103,7 +103,7 @@
         await self._stop.wait()
         log.info("%s drains", config.name)
         if self.manager is not None:
-            self.manager.goodbye()
+            self.manager.announce_shutdown()
         self._do(self._crew.end(self._now))
         self._listener.close()  # the workers have theirs, and close them in time
         await self._idle.wait()
@@ -261,21 +261,21 @@
     @property
     def state(self) -> str:
         """serving, draining or drained: the last that the workers have told."""
-        if self.ending or not self._drained:
-            return "draining" if self.ending else "serving"
+        if self.shutting_down or not self._drained:
+            return "draining" if self.shutting_down else "serving"
         told = [child.beat.get("state") for child in self._children.values() if child.beat]
         return "drained" if told and all(state == "drained" for state in told) else "draining"
 
     @property
-    def ending(self) -> bool:
+    def shutting_down(self) -> bool:
         """Whether it has been told to end."""
         return self._stop.is_set()
 
-    def gauges(self) -> CrewGauges:
+    def status_source(self) -> CrewGauges:
         """What tells of it."""
         return CrewGauges(self)
 
-    def manage(self, values: Values) -> None:
+    def apply_managed(self, values: Values) -> None:
         """Take up what the agent has set; ConfigError, and nothing changed, if it cannot be used."""
         self.configuration.manage(values)
         self._tell("manage", values=values)
@@ -295,11 +295,11 @@
         """Refuse clients from the start on, until `resume`."""
         self._drained = True
 
-    def end(self) -> None:
+    def begin_shutdown(self) -> None:
         """Drain and end."""
         self._stop.set()
 
-    def order(self, what: str) -> str:
+    def order_roster(self, what: str) -> str:
         """An order to the roster of each worker."""
         if self.configuration.values.get("roster.source", "off") == "off":
             return NO_ROSTER
@@ -338,11 +338,11 @@
 
 
 class CrewGauges:
-    """What a sidecar of several workers tells of itself (see `Told` in control/instance.py)."""
+    """What a sidecar of several workers tells of itself (see `StatusSource` in control/instance.py)."""
 
     def __init__(self, supervisor: Supervisor) -> None:
         self._supervisor = supervisor
-        self.ring = Ring()
+        self.ring = RecentLog()
         self.started = time.time()
 
     def start(self) -> None:
@@ -353,7 +353,7 @@
         """Keep no more."""
         logging.getLogger().removeHandler(self.ring)
 
-    def beat(self) -> dict[str, Any]:
+    def heartbeat(self) -> dict[str, Any]:
         """What goes with every heartbeat."""
         one = self._supervisor
         return merge.beat(one.tally, one.beats(), one.state) | {"workers": one.workers(), "deaths": one.deaths}
@@ -363,7 +363,7 @@
         found = merge.snapshot(await self._supervisor.ask("snapshot"))
         errors = sorted([*found["errors"], *self.ring.errors], key=lambda line: line["at"])[-20:]
         mine = {"pid": os.getpid(), "started": self.started, "errors": errors}
-        beat = self.beat()
+        beat = self.heartbeat()
         return beat | found | mine | {"workers": found.get("workers") or beat["workers"]}
 
     async def logs(self) -> list[dict[str, Any]]:
--- a/tests/control/test_disk_failures.py
+++ b/tests/control/test_disk_failures.py
@@ -16,7 +16,7 @@
 from covetally.control import manager, state_file
 from covetally.control.orders import Orders
 from covetally.control.protocol import digest
-from covetally.control.revisions import Held, Memory
+from covetally.control.revisions import Revision, RevisionState
 from covetally.membership import keep as membership_keep
 from covetally.operator import files
 from covetally.rig.account import SECOND
@@ -129,7 +129,7 @@
         managed = manager.Manager(instance)
         monkeypatch.setattr(state_file, "write", write)
         monkeypatch.setattr(manager, "KEEP_AGAIN_S", 0.02)
-        managed._memory = Memory(trial=Held(1, digest({}), {}))
+        managed._memory = RevisionState(trial=Revision(1, digest({}), {}))
         await managed._proven()
         await wait_until(path.exists)
         assert state_file.read(path).memory.good.revision == 1
@@ -143,11 +143,11 @@
     path = tmp_path / "keep.json"
     own = {"control.agent": "unix:none", "control.keep": str(path)}
     configuration = SimpleNamespace(own=own, platform=SimpleNamespace(name="a0"))
-    instance = SimpleNamespace(configuration=configuration, ending=True, drain=lambda within_s: None)
-    table = Orders(3, draining=True).table()
+    instance = SimpleNamespace(configuration=configuration, shutting_down=True, drain=lambda within_s: None)
+    table = Orders(3, draining=True).as_dict()
     assert asyncio.run(manager.Manager(instance)._done({"what": "drain", "orders": table})) == ""
     assert manager.Manager(instance).orders == Orders(3, draining=True)
-    late = {"what": "resume", "orders": Orders(2).table()}
+    late = {"what": "resume", "orders": Orders(2).as_dict()}
     assert "revision 3 are held here" in asyncio.run(manager.Manager(instance)._done(late))
 
 
--- a/tests/drainplan/test_plan.py
+++ b/tests/drainplan/test_plan.py
@@ -65,7 +65,7 @@
     try:
         order = plan(found, found.units, 0.0)
     except (FloorError, PodError) as error:
-        assert error.unit in found.units and error.what and error.remedy
+        assert error.unit in found.units and error.message and error.remedy
         return
     assert sorted(itertools.chain(*(wave.units for wave in order.waves))) == sorted(found.units)
     for wave in order.waves:
@@ -136,7 +136,7 @@
     with pytest.raises(FloorError) as error:
         plan(account(units, Floors({(S, "b"): 1.5})), ["u0", "u1"], 0.0)
     assert (error.value.unit, error.value.floor, error.value.lacking) == ("u1", 1.5, 0.5)
-    assert "sidecars in b" in error.value.line()
+    assert "sidecars in b" in error.value.as_line()
 
 
 def test_a_pods_last_node_never_goes_and_two_of_one_pod_go_in_turn():
--- a/tests/fleet/test_disk.py
+++ b/tests/fleet/test_disk.py
@@ -26,7 +26,7 @@
     with pytest.raises(CannotKeepError) as caught, store.transaction():
         store.set("half", "1")
         store.set("large", "x" * 1_000_000)
-    assert "Make room on the disk" in caught.value.line()
+    assert "Make room on the disk" in caught.value.as_line()
     fill(store, 1_000)
     with store.transaction():
         store.set("after", "kept")
--- a/tests/fleet/test_links.py
+++ b/tests/fleet/test_links.py
@@ -96,7 +96,7 @@
 
 
 def test_who_says_half_a_hello_is_ended_in_time(tmp_path, monkeypatch):
-    monkeypatch.setattr(links, "HELLO_S", 0.2)
+    monkeypatch.setattr(links, "HANDSHAKE_TIMEOUT_S", 0.2)
 
     async def main():
         async with listening(tmp_path) as (_, dial):
--- a/tests/fleet/test_orders.py
+++ b/tests/fleet/test_orders.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from covetally.control.orders import NO_ORDERS, Orders, RosterMode, from_table
+from covetally.control.orders import NO_ORDERS, Orders, RosterMode, from_dict
 from covetally.fleet.orders import Command, OrderBook
 from covetally.fleet.store import CannotKeepError, Store
 
@@ -53,10 +53,10 @@
 
 def test_a_store_that_was_lost_learns_orders_from_whoever_holds_them(store):
     book = OrderBook(store)
-    book.reported("a0", Orders(9, True, None, RosterMode.HOLD).table(), AT)
+    book.reported("a0", Orders(9, True, None, RosterMode.HOLD).as_dict(), AT)
     assert book.of("a0") == Orders(9, True, None, RosterMode.HOLD)
     assert book.order("a1", Command("drain", "anna"), AT).revision == 10
-    book.reported("a0", Orders(4).table(), AT)  # late: what is wanted stays
+    book.reported("a0", Orders(4).as_dict(), AT)  # late: what is wanted stays
     assert book.of("a0").draining
     book.reported("a0", None, AT)  # of a version that keeps none
     book.reported("a0", {"revision": "x"}, AT)
@@ -67,9 +67,9 @@
 def test_whoever_takes_the_highest_revision_ends_in_the_last_state_however_messages_cross(words, random):
     states, state = [], NO_ORDERS
     for revision, word in enumerate(words, 1):
-        state = state.ordered(word, revision)
+        state = state.with_order(word, revision)
         states.append(state)
-    crossed = [from_table(each.table()) for each in states * 2]  # each comes twice, in any order
+    crossed = [from_dict(each.as_dict()) for each in states * 2]  # each comes twice, in any order
     random.shuffle(crossed)
     held = NO_ORDERS
     for each in crossed:
@@ -83,11 +83,11 @@
         None,
         {},
         {"revision": -1},
-        Orders().table() | {"roster": "x"},
-        Orders().table() | {"within_s": "1"},
-        Orders().table() | {"draining": 1},
+        Orders().as_dict() | {"roster": "x"},
+        Orders().as_dict() | {"within_s": "1"},
+        Orders().as_dict() | {"draining": 1},
     ],
 )
 def test_what_is_no_orders_is_said_to_be_none(table):
     with pytest.raises(ValueError):
-        from_table(table)
+        from_dict(table)
--- a/tests/operator/test_check.py
+++ b/tests/operator/test_check.py
@@ -13,7 +13,7 @@
 
 from covetally.cli.main import main
 from covetally.operator import check, example, overrides, schema
-from covetally.operator.check import OperatorError, checked
+from covetally.operator.check import OperatorError, validate
 from tests.support import MS, settings
 
 ROOT = Path(__file__).parent.parent.parent
@@ -24,7 +24,7 @@
 
 def problems(flat) -> list[check.Problem]:
     with pytest.raises(OperatorError) as caught:
-        checked(flat)
+        validate(flat)
     return caught.value.problems
 
 
@@ -75,23 +75,23 @@
 
 
 def test_a_name_may_hold_dots():
-    values = checked({"classes.a.b.aim_ms": 10.0})
+    values = validate({"classes.a.b.aim_ms": 10.0})
     assert values == {"classes.a.b.aim_ms": 10}
     key = schema.find("classes.a.b.aim_ms")
-    assert key is not None and schema.free_part(key, "classes.a.b.aim_ms") == "a.b"
+    assert key is not None and schema.wildcard_part(key, "classes.a.b.aim_ms") == "a.b"
 
 
 @given(st.dictionaries(st.text(max_size=30), st.one_of(st.integers(), st.floats(), st.text(), st.booleans())))
 def test_nothing_that_comes_is_more_than_a_problem(flat):
     try:
-        assert set(checked(flat)) == set(flat)
+        assert set(validate(flat)) == set(flat)
     except OperatorError as error:
         assert error.problems
-        assert all(json.dumps(p.table()) for p in error.problems)
+        assert all(json.dumps(p.as_dict()) for p in error.problems)
 
 
 def test_classes_and_limits_are_put_in_the_platform_s_place():
-    got = check.apply(
+    got = check.apply_settings(
         settings(),
         {"classes.look.deadline_ms": 200, "classes.pay.aim_ms": 100, "limits.max_attempts": 2},
     )
@@ -112,13 +112,13 @@
 )
 def test_what_the_platform_does_not_allow_is_refused(values, key, remedy):
     with pytest.raises(OperatorError) as caught:
-        check.apply(settings(), values)
+        check.apply_settings(settings(), values)
     (found,) = caught.value.problems
     assert found.key == key and remedy in found.remedy
 
 
 def test_every_key_changes_the_configuration_it_names():
-    changed = overrides.changes(
+    changed = overrides.config_overrides(
         PLATFORM,
         {
             "limits.client_connections": 9, "limits.server_connections": 8, "limits.body_memory_kib": 64,
@@ -143,11 +143,11 @@
 )
 def test_connections_that_do_not_fit_into_the_descriptors_are_refused(values, key):
     with pytest.raises(OperatorError) as caught:
-        overrides.changes(PLATFORM, values)
+        overrides.config_overrides(PLATFORM, values)
     (found,) = caught.value.problems
     assert found.key == key and "at most 243 together, of 256" in found.remedy
     fits = {"limits.client_connections": 141, "limits.server_connections": 102}
-    assert overrides.changes(PLATFORM, fits)["client_connections"] == 141
+    assert overrides.config_overrides(PLATFORM, fits)["client_connections"] == 141
 
 
 def test_the_command_says_what_is_wrong_and_ends_with_2(tmp_path):
--- a/tests/overload/test_line.py
+++ b/tests/overload/test_line.py
@@ -111,7 +111,7 @@
 def test_a_pin_that_says_nothing_is_refused_with_what_to_say(text):
     with pytest.raises(pins.BadPin) as error:
         pins.parse(text, 0)
-    assert "pin:own-shares:600" in error.value.line()
+    assert "pin:own-shares:600" in error.value.as_line()
 
 
 @pytest.mark.parametrize(
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -47,8 +47,8 @@
 
 def test_an_error_is_the_same_in_the_api_the_command_and_the_log():
     error = CindersailError("it broke", "Mend it.")
-    assert error.table() == {"code": "failed", "error": "it broke", "remedy": "Mend it."}
-    assert error.line() == "it broke [failed]: Mend it."
+    assert error.as_dict() == {"code": "failed", "error": "it broke", "remedy": "Mend it."}
+    assert error.as_line() == "it broke [failed]: Mend it."
     assert isinstance(Refused("busy", "x"), CindersailError)
     assert client.BAD_INPUT == 2
 
--- a/tests/words/test_words.py
+++ b/tests/words/test_words.py
@@ -27,7 +27,7 @@
     try:
         assert encode(decode(data))[2:] == data[2:]
     except BadWord as error:
-        assert error.what and error.remedy
+        assert error.message and error.remedy
 
 
 def test_a_body_that_is_too_long_is_refused():
