--- a/covetally/control/__init__.py
+++ b/covetally/control/__init__.py
@@ -1,1 +1,1 @@
-"""The sidecar's side of management: it dials out to an agent, tells it what it is, and takes revisions."""
+"""The sidecar's side of management: it connects to an agent, reports its status and applies revisions."""
--- a/covetally/control/instance.py
+++ b/covetally/control/instance.py
@@ -1,4 +1,4 @@
-"""What management needs of the sidecar that it manages, be it one process or a supervisor with its workers."""
+"""The interface between management and a sidecar: one process, or a supervisor with its workers."""
 
 from __future__ import annotations
 
@@ -9,24 +9,24 @@
 
 
 class StatusSource(Protocol):
-    """What an instance can tell of itself, between `start` and `stop`."""
+    """The status of an instance, collected between `start` and `stop`."""
 
-    started: float  # s since the epoch
+    started: float  # Unix time in seconds
 
     def start(self) -> None:
-        """Begin to count."""
+        """Start collecting."""
 
     def stop(self) -> None:
-        """Count no more."""
+        """Stop collecting."""
 
     def heartbeat(self) -> dict[str, Any]:
-        """What goes with every heartbeat."""
+        """Return the content of a heartbeat."""
 
     async def snapshot(self) -> dict[str, Any]:
-        """All there is to tell."""
+        """Return the full status."""
 
     async def logs(self) -> list[dict[str, Any]]:
-        """The last log lines, oldest first."""
+        """Return the last log lines, oldest first."""
 
 
 class Instance(Protocol):
@@ -36,41 +36,42 @@
 
     @property
     def state(self) -> str:
-        """serving, draining or drained."""
+        """`serving`, `draining` or `drained`."""
 
     @property
     def shutting_down(self) -> bool:
-        """Whether it has been told to end."""
+        """Whether its shutdown has begun."""
 
     def status_source(self) -> StatusSource:
-        """What tells of it, new and not started."""
+        """Return a new status source that is not started."""
 
     def apply_managed(self, values: dict[str, Any]) -> None:
-        """Take up these settings; ConfigError, and nothing changed, if they cannot be used."""
+        """Apply the settings of an agent. Raises ConfigError and changes nothing if they cannot be used."""
 
     def drain(self, within_s: float | None) -> None:
-        """Tell clients to stay away, and hold none of them after so many seconds; None: as soon as can be."""
+        """Ask clients to leave and close all their connections after `within_s`; None: no time limit."""
 
     def resume(self) -> None:
-        """Let clients come back."""
+        """Accept clients again."""
 
     def start_drained(self) -> None:
-        """Refuse clients from the start of the process on, until `resume`."""
+        """Refuse clients from the start of the process until `resume`."""
 
     def begin_shutdown(self) -> None:
-        """Drain and end."""
+        """Start to drain; the process exits afterwards."""
 
-    def order_roster(self, what: str) -> str:
-        """An order to the roster: believe, hold or auto. Empty, or why not."""
+    def order_roster(self, order: str) -> str:
+        """Give the roster an order: `believe`, `hold` or `auto`. Return why it was refused, else an empty
+        string."""
 
     async def roster_table(self) -> dict[str, Any]:
-        """What is believed of the list of nodes, and why."""
+        """Return the accepted list of nodes and the reasons behind it."""
 
     async def overload_table(self) -> dict[str, Any]:
-        """Where the fleet's overload line stands here."""
+        """Return the state of the fleet-wide admission threshold on this sidecar."""
 
     async def caps_table(self) -> dict[str, Any]:
-        """Workshops' connection caps as they stand here."""
+        """Return the state of the tenants' connection caps on this sidecar."""
 
     async def tier_table(self) -> dict[str, Any]:
-        """What it knows of the other sidecars, and with them."""
+        """Return what is known about the other sidecars of the tier."""
--- a/covetally/control/manager.py
+++ b/covetally/control/manager.py
@@ -1,6 +1,7 @@
-"""The sidecar's end of management: keeps a link to the agent and carries out what comes over it.
+"""The sidecar's side of management: keeps a connection to the agent and handles the messages of the agent.
 
-Management must never cost service: whatever goes wrong here is logged and the sidecar serves on with what it has.
+Management must never affect the request path: any failure here is logged, and the sidecar keeps serving with the
+settings that it has.
 """
 
 from __future__ import annotations
@@ -28,7 +29,7 @@
     encode,
 )
 from covetally.control.reconnect import ReconnectBackoff
-from covetally.control.revisions import Revision, Action
+from covetally.control.revisions import Action, Revision
 from covetally.net.config import ConfigError
 
 if TYPE_CHECKING:
@@ -36,14 +37,14 @@
 
 log = logging.getLogger(__name__)
 
-SILENT_BEATS = 3  # an agent that has not answered so many heartbeats, and SILENT_S, is not there
-SILENT_S = 2.0
-KEEP_AGAIN_S = 2.0  # until what the disk did not take is written again
-MAX_UNSENT = 4 * 1024 * 1024  # an agent that does not read is not there either
+MAX_MISSED_HEARTBEATS = 3
+SILENCE_MARGIN_S = 2.0  # in addition to that many heartbeats, until a silent agent counts as lost
+SAVE_RETRY_S = 2.0  # until a failed write of the state file is retried
+MAX_UNSENT_BYTES = 4 * 1024 * 1024  # an agent with more unread data than this counts as lost
 
 
 class Manager:
-    """Created with the process, started when it serves."""
+    """Manages one instance for its agent. Created with the process, started once the instance serves."""
 
     def __init__(self, instance: Instance) -> None:
         self._instance = instance
@@ -52,138 +53,141 @@
         self._labels = {
             k.removeprefix("control.labels."): v for k, v in own.items() if k.startswith("control.labels.")
         }
-        self._boot = secrets.token_hex(8)
-        self._epoch = 0  # the highest of any order to go out; this process's memory only
-        self._path = Path(str(own["control.keep"])) if "control.keep" in own else None
-        kept = self._recall()
-        self._memory = revisions.on_start(kept.memory)
-        self.orders = kept.orders  # what an operator wants of this sidecar, as far as it is known here
-        self._redial = ReconnectBackoff(0.5, 30.0)
+        self._boot_id = secrets.token_hex(8)
+        self._highest_epoch = 0  # of any action so far; not saved across restarts
+        self._state_path = Path(str(own["control.keep"])) if "control.keep" in own else None
+        saved = self._load_state()
+        self._revisions = revisions.on_start(saved.revision_state)
+        self.orders = saved.orders  # the latest state that operators ordered, as far as it is known here
+        self._backoff = ReconnectBackoff(0.5, 30.0)
         self._writer: asyncio.StreamWriter | None = None
         self._task: asyncio.Task[None] | None = None
-        self._proving: asyncio.TimerHandle | None = None
-        self._writing = asyncio.Lock()
-        self._told_down = False
-        self._cannot_keep = False  # the disk did not take what was last to be kept of a trial
+        self._trial_timer: asyncio.TimerHandle | None = None
+        self._save_lock = asyncio.Lock()
+        self._disconnect_logged = False
+        self._save_failed = False  # whether the last save of an accepted trial failed
         self.status_source: StatusSource
 
-    # --- before and after -----------------------------------------------------------------------
+    # --- start and stop -------------------------------------------------------------------------
 
-    def _recall(self) -> SavedState:
-        if self._path is None:
+    def _load_state(self) -> SavedState:
+        if self._state_path is None:
             return SavedState()
         try:
-            return state_file.read(self._path)
+            return state_file.read(self._state_path)
         except ValueError as error:
-            log.error("control.keep: %s: %s: nothing managed is in force", self._path, error)
+            log.error("control.keep: %s: %s: nothing managed is in force", self._state_path, error)
             return SavedState()
 
     def initial_values(self) -> dict[str, Any]:
-        """The managed settings to start with. The memory is written first: if they kill the process before it
-        has proven them, the next one must know."""
-        if self._path is not None and self._memory.trial is not None:
+        """Return the managed settings to start with. Saves the state first: if they crash the process during
+        their trial, the next process has to know."""
+        if self._state_path is not None and self._revisions.trial is not None:
             try:
-                state_file.write(self._path, SavedState(self._memory, self.orders))
+                state_file.write(self._state_path, SavedState(self._revisions, self.orders))
             except OSError as error:
-                log.error("control.keep: %s: starting without what is on trial", error)
-                self._memory = revisions.reject_in_force(self._memory, f"control.keep cannot be written: {error}")
-        return dict(self._memory.in_force.values)
+                log.error("control.keep: %s: starting without the revision on trial", error)
+                self._revisions = revisions.reject_in_force(
+                    self._revisions, f"control.keep cannot be written: {error}"
+                )
+        return dict(self._revisions.in_force.values)
 
     def reject_initial(self, reason: str) -> dict[str, Any]:
-        """The settings of `at_start` cannot be used; returns what to start with instead."""
-        log.error("revision %d cannot be used any more: %s", self._memory.in_force.revision, reason)
-        self._memory = revisions.reject_in_force(self._memory, reason)
-        return dict(self._memory.in_force.values)
+        """Reject the settings of `initial_values`, which cannot be used. Return the settings to start with
+        instead."""
+        log.error("revision %d cannot be used any longer: %s", self._revisions.in_force.revision, reason)
+        self._revisions = revisions.reject_in_force(self._revisions, reason)
+        return dict(self._revisions.in_force.values)
 
     def restore_orders(self) -> None:
-        """Put what was ordered of the process before this one in force, before a request is taken."""
+        """Apply the orders given to the previous process, before the first request is accepted."""
         if self.orders.draining:
             self._instance.start_drained()
         if self.orders.roster is RosterMode.AUTO:
             return
         if reason := self._instance.order_roster(self.orders.roster.value):
-            log.error("the order %s of the roster cannot hold: %s", self.orders.roster.value, reason)
+            log.error("the order %s to the roster cannot be restored: %s", self.orders.roster.value, reason)
 
     def start(self) -> None:
-        """The sidecar serves: look for the agent."""
+        """Start to report and to connect to the agent. The instance has to serve already."""
         self.status_source = self._instance.status_source()
         self.status_source.start()
-        if self._memory.trial is not None:
-            self._prove_later()
-        elif self._memory.failed is not None:
-            self._prove_later(0.0)  # what failed is kept as such
+        if self._revisions.trial is not None:
+            self._schedule_acceptance()
+        elif self._revisions.failed is not None:
+            self._schedule_acceptance(0.0)  # saves the failed revision
         self._task = asyncio.create_task(self._run())
 
     def announce_shutdown(self) -> None:
-        """The sidecar drains and will end."""
+        """Tell the agent that the sidecar drains and will exit."""
         self._send({"t": "bye", "reason": "ends"})
 
     async def stop(self) -> None:
-        """End the link. A process that ends in good order has proven its revision."""
+        """Close the connection. A normal shutdown accepts the revision on trial."""
         if self._task is not None:
             self._task.cancel()
             with contextlib.suppress(asyncio.CancelledError):
                 await self._task
         self.status_source.stop()
-        if self._proving is not None:
-            self._proving.cancel()
-            await self._proven()
+        if self._trial_timer is not None:
+            self._trial_timer.cancel()
+            await self._accept_trial()
 
-    # --- the link -------------------------------------------------------------------------------
+    # --- connection -----------------------------------------------------------------------------
 
     async def _run(self) -> None:
         loop = asyncio.get_running_loop()
         while True:
             values = self._instance.configuration.values
-            self._redial.min_s = float(values.get("control.redial_min_s", 0.5))
-            self._redial.max_s = float(values.get("control.redial_max_s", 30.0))
+            self._backoff.min_s = float(values.get("control.redial_min_s", 0.5))
+            self._backoff.max_s = float(values.get("control.redial_max_s", 30.0))
             start = loop.time()
             try:
-                await self._link()
+                await self._run_connection()
             except (OSError, ProtocolError, TimeoutError) as error:
-                if not self._told_down:  # once for each time it goes
-                    log.warning("no agent: %s: %s", type(error).__name__, error)
-                self._told_down = True
-            except Exception:  # a bug here costs management, never service
-                log.exception("the link to the agent failed by a bug")
-            self._redial.record_uptime(loop.time() - start)
-            await asyncio.sleep(self._redial.next_delay(random.random()))
-
-    async def _link(self) -> None:
+                if not self._disconnect_logged:  # once per loss
+                    log.warning("no connection to the agent: %s: %s", type(error).__name__, error)
+                self._disconnect_logged = True
+            except Exception:  # a bug must not stop the sidecar from serving
+                log.exception("unhandled exception in the connection to the agent")
+            self._backoff.record_uptime(loop.time() - start)
+            await asyncio.sleep(self._backoff.next_delay(random.random()))
+
+    async def _run_connection(self) -> None:
         async with asyncio.timeout(HANDSHAKE_TIMEOUT_S):
-            reader, writer = await self._dial()
+            reader, writer = await self._connect()
         decoder, beats = Decoder(), None
         try:
             self._writer = writer
-            self._send(self._hello())
+            self._send(self._hello_message())
             async with asyncio.timeout(HANDSHAKE_TIMEOUT_S):
-                messages = await self._read(reader, decoder)
+                messages = await self._read_messages(reader, decoder)
             first = messages.pop(0)
             if first["t"] == "deny":
-                raise ProtocolError(f"the agent denies: {first['reason']:.200}")
+                raise ProtocolError(f"the agent rejected this sidecar: {first['reason']:.200}")
             if first["t"] != "welcome" or first["version"] not in VERSIONS:
-                raise ProtocolError(f"the agent answers {first!r:.200}")
+                raise ProtocolError(f"unexpected answer of the agent: {first!r:.200}")
             log.info("managed as %s by the agent at %s", self.name, self._own["control.agent"])
-            if "orders" in first and (problem := await self._take_orders(first["orders"])):
-                log.error("orders of the agent: %s", problem)
-            self._told_down = False
-            beats = asyncio.create_task(self._beat())
+            if "orders" in first and (problem := await self._receive_orders(first["orders"])):
+                log.error("cannot apply the orders of the agent: %s", problem)
+            self._disconnect_logged = False
+            beats = asyncio.create_task(self._send_heartbeats())
             while True:
                 for message in messages:
                     await self._handle(message)
-                silence_s = SILENT_BEATS * self._heartbeat_s() + SILENT_S
+                silence_s = MAX_MISSED_HEARTBEATS * self._heartbeat_s() + SILENCE_MARGIN_S
                 try:
                     async with asyncio.timeout(silence_s):
-                        messages = await self._read(reader, decoder)
+                        messages = await self._read_messages(reader, decoder)
                 except TimeoutError:
-                    raise ProtocolError(f"nothing from the agent for {silence_s:g} s") from None
+                    raise ProtocolError(f"the agent has sent nothing for {silence_s:g} s") from None
         finally:
             self._writer = None
             if beats is not None:
                 beats.cancel()
             writer.transport.abort()
 
-    async def _dial(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
+    async def _connect(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
         agent = str(self._own["control.agent"])
         kind, _, where = agent.partition(":")
         if kind == "unix":
@@ -191,11 +195,11 @@
         host, _, port = where.rpartition(":")
         return await asyncio.open_connection(host, int(port))
 
-    async def _read(self, reader: asyncio.StreamReader, decoder: Decoder) -> list[Message]:
+    async def _read_messages(self, reader: asyncio.StreamReader, decoder: Decoder) -> list[Message]:
         while True:
             data = await reader.read(65536)
             if not data:
-                raise ConnectionResetError("the agent closed the link")
+                raise ConnectionResetError("the agent closed the connection")
             messages = decoder.feed(data)
             if messages:
                 return messages
@@ -204,22 +208,21 @@
         writer = self._writer
         if writer is None or writer.is_closing():
             return
-        if writer.transport.get_write_buffer_size() > MAX_UNSENT:
+        if writer.transport.get_write_buffer_size() > MAX_UNSENT_BYTES:
             writer.transport.abort()
             return
         writer.write(encode(message))
 
-    def _hello(self) -> Message:
-        now, memory = self._memory.in_force, self._memory
+    def _hello_message(self) -> Message:
+        now, memory = self._revisions.in_force, self._revisions
         return {
-            "t": "hello", "versions": list(VERSIONS), "name": self.name, "boot": self._boot, "pid": os.getpid(),
-            "version": _version(), "labels": self._labels, "started": self.status_source.started,
-            "revision": now.revision, "digest": now.digest, "values": dict(now.values),
-            "pending": memory.pending.digest if memory.pending else "",
-            "failed": memory.failed.digest if memory.failed else "", "reason": memory.reason,
-            "may_restart": bool(self._own.get("control.may_restart", False)),
-            "epoch": self._epoch, "keeps": self._path is not None, "orders": self.orders.as_dict(),
-            "token": self._token(), "beat": self._beat_message(),
+            "t": "hello", "versions": list(VERSIONS), "name": self.name, "boot": self._boot_id, "pid":
+            os.getpid(), "version": _version(), "labels": self._labels, "started": self.status_source.started,
+            "revision": now.revision, "digest": now.digest, "values": dict(now.values), "pending":
+            memory.pending.digest if memory.pending else "", "failed": memory.failed.digest if memory.failed
+            else "", "reason": memory.reason, "may_restart": bool(self._own.get("control.may_restart", False)),
+            "epoch": self._highest_epoch, "keeps": self._state_path is not None, "orders":
+            self.orders.as_dict(), "token": self._token(), "beat": self._heartbeat_message(),
         }  # fmt: skip
 
     def _token(self) -> str:
@@ -232,39 +235,39 @@
             log.error("control.token_file: %s", error)
             return ""
 
-    # --- what it tells --------------------------------------------------------------------------
+    # --- heartbeats -----------------------------------------------------------------------------
 
     def _heartbeat_s(self) -> float:
         return float(self._instance.configuration.values.get("control.heartbeat_s", 5.0))
 
-    def _beat_message(self) -> Message:
-        memory = self._memory
+    def _heartbeat_message(self) -> Message:
+        memory = self._revisions
         pending = memory.pending.digest if memory.pending else ""
         ours = {"digest": memory.in_force.digest, "pending": pending, "orders": self.orders.revision}
         return {"t": "beat"} | ours | self.status_source.heartbeat()
 
-    async def _beat(self) -> None:
+    async def _send_heartbeats(self) -> None:
         while True:
-            # Not all at once, however many sidecars came to the agent in one moment.
+            # Jitter, so that sidecars that connected at the same moment do not report at the same moment.
             await asyncio.sleep(self._heartbeat_s() * random.uniform(0.9, 1.1))
-            self._send(self._beat_message())
+            self._send(self._heartbeat_message())
 
-    # --- what it takes --------------------------------------------------------------------------
+    # --- messages of the agent ------------------------------------------------------------------
 
     async def _handle(self, message: Message) -> None:
         match message["t"]:
             case "apply":
-                self._send(await self._offered(message))
+                self._send(await self._handle_offer(message))
             case "ask":
-                self._send({"t": "answer", "id": message["id"]} | await self._asked(message))
+                self._send({"t": "answer", "id": message["id"]} | await self._answer_question(message))
             case "do":
-                problem = self._behind(message) or await self._done(message)
+                problem = self._check_epoch(message) or await self._carry_out(message)
                 self._send({"t": "answer", "id": message["id"], "error": problem, "state": self._instance.state})
 
-    async def _asked(self, message: Message) -> dict[str, Any]:
+    async def _answer_question(self, message: Message) -> dict[str, Any]:
         what = message["what"]
         if what == "snapshot":
-            now, memory = self._memory.in_force, self._memory
+            now, memory = self._revisions.in_force, self._revisions
             managed = {
                 "revision": now.revision, "digest": now.digest, "values": dict(now.values),
                 "on_trial": memory.trial is not None, "settings": self._instance.configuration.values,
@@ -276,8 +279,8 @@
         if what == "would":
             values = message.get("values")
             if not isinstance(values, dict):
-                return {"error": "would it take what?"}
-            problems, restart = self._check(Revision(0, digest(values), values))
+                return {"error": "values is missing or not an object"}
+            problems, restart = self._check_offer(Revision(0, digest(values), values))
             return {"data": {"problems": problems, "restart": restart}}
         if what == "overload":
             return {"data": await self._instance.overload_table()}
@@ -289,31 +292,33 @@
             return {}
         if what == "logs":
             return {"data": await self.status_source.logs()}
-        return {"error": f"nothing is known as {what:.40}"}
+        return {"error": f"unknown question: {what:.40}"}
 
-    def _behind(self, message: Message) -> str:
-        """Why an order is refused: another agent has gone on since the one that gives it. Empty if it is not."""
+    def _check_epoch(self, message: Message) -> str:
+        """Return why an order is refused, else an empty string: an agent with a higher epoch has taken over."""
         epoch = message.get("epoch")
         if not isinstance(epoch, int):
             return ""
-        if epoch < self._epoch:
-            return f"epoch {self._epoch} is known here, and this order is of {epoch}: another agent has gone on"
-        self._epoch = epoch
+        if epoch < self._highest_epoch:
+            return (
+                f"epoch {self._highest_epoch} is known, but this order has {epoch}: another agent has taken over"
+            )
+        self._highest_epoch = epoch
         return ""
 
-    async def _done(self, message: Message) -> str:
-        """Carry out an order; empty, or why not."""
+    async def _carry_out(self, message: Message) -> str:
+        """Carry out an order. Return why it failed, else an empty string."""
         what = message["what"]
-        if what in STATE_ORDERS:  # also while it ends: the process after it is to have it
+        if what in STATE_ORDERS:  # also during shutdown: saved for the next process
             if "orders" in message:
-                return await self._take_orders(message["orders"])
-            return await self._adopt_orders(self.orders.with_order(what, self.orders.revision))
+                return await self._receive_orders(message["orders"])
+            return await self._apply_orders(self.orders.with_order(what, self.orders.revision))
         if self._instance.shutting_down:
-            return "" if what == "restart" else "the sidecar is ending"
-        return self._do_once(what)
+            return "" if what == "restart" else "the sidecar is shutting down"
+        return self._run_action(what)
 
-    def _do_once(self, what: str) -> str:
-        """Carry out what is no state; empty, or why not."""
+    def _run_action(self, what: str) -> str:
+        """Carry out a one-time action. Return why it failed, else an empty string."""
         instance = self._instance
         match what:
             case "believe":
@@ -321,38 +326,40 @@
                     return reason
             case "restart":
                 if not self._own.get("control.may_restart", False):
-                    return "control.may_restart is not set: nothing would start this sidecar again"
-                log.info("%s restarts at the agent's word", self.name)
+                    return "control.may_restart is not set: nothing would restart this sidecar"
+                log.info("%s: restarting as ordered by the agent", self.name)
                 instance.begin_shutdown()
             case _:
-                return f"nothing is known as {what:.40}"
-        log.info("%s: %s at the agent's word", self.name, what)
+                return f"unknown action: {what:.40}"
+        log.info("%s: %s as ordered by the agent", self.name, what)
         return ""
 
-    # --- what an operator has ordered -----------------------------------------------------------
+    # --- orders of operators --------------------------------------------------------------------
 
-    async def _take_orders(self, table: Any) -> str:
-        """Take up the state that the agent wants; empty, or why not. What is older than what is held is late."""
+    async def _receive_orders(self, table: Any) -> str:
+        """Apply the state that the agent sends, unless it is older than the current one. Return why it failed,
+        else an empty string."""
         try:
             wanted = from_dict(table)
         except ValueError as error:
             return str(error)
         if wanted.revision < self.orders.revision:
             return f"orders of revision {self.orders.revision} are held here, and these are of {wanted.revision}"
-        return await self._adopt_orders(wanted)
+        return await self._apply_orders(wanted)
 
-    async def _adopt_orders(self, wanted: Orders) -> str:
-        """Keep a state, then put it in force: what cannot be kept is not acknowledged. Empty, or why not."""
+    async def _apply_orders(self, wanted: Orders) -> str:
+        """Save a state, then apply it: a state that cannot be saved is not acknowledged. Return why it failed,
+        else an empty string."""
         before = self.orders
         if wanted == before:
             return ""
         if wanted.roster is not before.roster:
             reason = self._instance.order_roster(wanted.roster.value)
-            if reason and wanted.roster is not RosterMode.AUTO:  # without a roster there is nothing to undo
+            if reason and wanted.roster is not RosterMode.AUTO:  # without a roster, auto is in effect anyway
                 return reason
         self.orders = wanted
         try:
-            await self._keep()
+            await self._save()
         except OSError as error:
             self.orders = before
             self._instance.order_roster(before.roster.value)
@@ -365,31 +372,31 @@
                  wanted.draining, wanted.roster.value)  # fmt: skip
         return ""
 
-    async def _offered(self, message: Message) -> Message:
+    async def _handle_offer(self, message: Message) -> Message:
         offered = Revision(message["revision"], message["digest"], message["values"])
-        problems, restart = self._check(offered)
-        before = self._memory
+        problems, restart = self._check_offer(offered)
+        before = self._revisions
         memory, step, reply = revisions.offer(before, offered, problems, restart)
         if step is not Action.NONE:
             try:
-                self._memory = memory
-                await self._keep()
+                self._revisions = memory
+                await self._save()
                 if step is Action.APPLY:
                     self._instance.apply_managed(dict(offered.values))
-                    self._prove_later()
+                    self._schedule_acceptance()
             except (OSError, ConfigError) as error:
-                self._memory = before
+                self._revisions = before
                 refusal = {"key": "control.keep", "value": None, "reason": str(error), "remedy": ""}
                 reply = revisions.OfferResult("refused", offered, (refusal,))
         log.info("revision %d: %s", offered.revision, reply.outcome)
         return {
             "t": "ack", "revision": offered.revision, "digest": offered.digest, "outcome": reply.outcome,
-            "errors": list(reply.errors), "keys": list(reply.keys), "held": self._memory.in_force.digest,
-            "keeps": self._path is not None,
+            "errors": list(reply.errors), "keys": list(reply.keys), "held": self._revisions.in_force.digest,
+            "keeps": self._state_path is not None,
         }  # fmt: skip
 
-    def _check(self, offered: Revision) -> tuple[list[dict[str, Any]], list[str]]:
-        """What is wrong with an offer here, and what of it would take a restart."""
+    def _check_offer(self, offered: Revision) -> tuple[list[dict[str, Any]], list[str]]:
+        """Return the problems of an offer on this sidecar, and the changed keys that need a restart."""
         from covetally.operator import check
 
         try:
@@ -398,34 +405,37 @@
         except check.OperatorError as error:
             return [p.as_dict() for p in error.problems], []
         if digest(values) != offered.digest:
-            return [{"key": "digest", "value": None, "reason": "is not of these settings", "remedy": ""}], []
+            return [{"key": "digest", "value": None, "reason": "does not match the settings", "remedy": ""}], []
         own = self._own
-        return [], check.restart_keys(own | dict(self._memory.in_force.values), own | values)
-
-    async def _keep(self) -> None:
-        if self._path is not None:
-            async with self._writing:
-                await asyncio.to_thread(state_file.write, self._path, SavedState(self._memory, self.orders))
-
-    def _prove_later(self, after_s: float = revisions.TRIAL_S) -> None:
-        if self._proving is not None:
-            self._proving.cancel()
+        return [], check.restart_keys(own | dict(self._revisions.in_force.values), own | values)
+
+    async def _save(self) -> None:
+        if self._state_path is not None:
+            async with self._save_lock:
+                await asyncio.to_thread(
+                    state_file.write, self._state_path, SavedState(self._revisions, self.orders)
+                )
+
+    def _schedule_acceptance(self, after_s: float = revisions.TRIAL_S) -> None:
+        if self._trial_timer is not None:
+            self._trial_timer.cancel()
         loop = asyncio.get_running_loop()
-        self._proving = loop.call_later(after_s, lambda: loop.create_task(self._proven()))
+        self._trial_timer = loop.call_later(after_s, lambda: loop.create_task(self._accept_trial()))
 
-    async def _proven(self) -> None:
-        """The revision on trial is good. Until that is kept a crash would count against it: it is tried again."""
-        self._proving = None
-        self._memory = revisions.accept_trial(self._memory)
+    async def _accept_trial(self) -> None:
+        """Accept the revision on trial. Until this is saved, a crash would be blamed on it, so the save is
+        retried."""
+        self._trial_timer = None
+        self._revisions = revisions.accept_trial(self._revisions)
         try:
-            await self._keep()
+            await self._save()
         except OSError as error:
-            if not self._cannot_keep:
-                log.error("control.keep: %s: make room on the disk or mend it", error)
-            self._cannot_keep = True
-            self._prove_later(KEEP_AGAIN_S)
+            if not self._save_failed:
+                log.error("control.keep: %s: make room on the disk or repair it", error)
+            self._save_failed = True
+            self._schedule_acceptance(SAVE_RETRY_S)
         else:
-            self._cannot_keep = False
+            self._save_failed = False
 
 
 def _version() -> str:
--- a/covetally/control/protocol.py
+++ b/covetally/control/protocol.py
@@ -1,14 +1,15 @@
 """The protocol between a sidecar and its agent: frames, messages, versions.
 
-The sidecar dials; the agent listens. A frame is four bytes of length (unsigned, big endian) and that many bytes
-of JSON, one object with a member "t", its type. The sidecar's first frame is a hello with the versions that it
-speaks; the agent answers welcome with the one it picked, or deny with a reason, and closes. Unknown types and
-members are skipped, so that either side may be the newer one; a known type that lacks a member, or has one of the
-wrong type, ends the link. Either side may end it at any time.
+The sidecar connects; the agent listens. A frame is a length of four bytes (unsigned, big endian) followed by
+that many bytes of JSON: one object whose member "t" is the message type. The first frame of the sidecar is a
+hello with the protocol versions that it supports. The agent answers with welcome and the version it chose, or
+with deny and a reason, and then closes the connection. Unknown types and members are ignored, so either side
+may be the newer one. A known type with a missing member, or one of the wrong type, closes the connection.
+Either side may close it at any time.
 
     sidecar: hello, beat, ack, answer, bye          agent: welcome, deny, seen, apply, ask, do
 
-docs/design/fleet.md has each message with its members.
+docs/design/fleet.md lists each message with its members.
 """
 
 from __future__ import annotations
@@ -22,7 +23,7 @@
 
 VERSIONS = (1,)
 MAX_FRAME = 1024 * 1024
-HANDSHAKE_TIMEOUT_S = 5.0  # a link that has not said hello, or got its answer, for so long is ended
+HANDSHAKE_TIMEOUT_S = 5.0  # for the hello and for its answer; a slower connection is closed
 
 Message = dict[str, Any]
 
@@ -45,65 +46,65 @@
 
 
 class ProtocolError(DamagedError):
-    """The other side does not speak this protocol; the message says what came."""
+    """The peer sent something that is not valid in this protocol; the message names it."""
 
     code = "control-protocol"
-    remedy = "See that agent and sidecar are of versions that speak with each other."
+    remedy = "Check that agent and sidecar run versions that are compatible with each other."
 
 
 def encode(message: Message, limit: int = MAX_FRAME) -> bytes:
-    """One frame; ProtocolError if it would be over the limit."""
+    """Return the message as one frame. Raises ProtocolError if it is longer than `limit`."""
     body = json.dumps(message, separators=(",", ":")).encode()
     if len(body) > limit:
-        raise ProtocolError(f"a frame of {len(body)} bytes")
+        raise ProtocolError(f"frame of {len(body)} bytes is over the limit")
     return len(body).to_bytes(4, "big") + body
 
 
 class Decoder:
-    """Bytes in, messages out."""
+    """Splits a byte stream into messages."""
 
     def __init__(self, limit: int = MAX_FRAME) -> None:
         self._limit = limit
         self._buffer = bytearray()
 
     def feed(self, data: bytes) -> list[Message]:
-        """The messages that are whole now; ProtocolError if what came can be none."""
+        """Return the messages that are complete now. Raises ProtocolError on invalid data."""
         self._buffer += data
         messages = []
         while len(self._buffer) >= 4:
             size = int.from_bytes(self._buffer[:4], "big")
             if size > self._limit:
-                raise ProtocolError(f"a frame of {size} bytes, at most {self._limit}")
+                raise ProtocolError(f"frame of {size} bytes, at most {self._limit}")
             if len(self._buffer) < 4 + size:
                 break
-            messages.append(_read(bytes(self._buffer[4 : 4 + size])))
+            messages.append(_parse(bytes(self._buffer[4 : 4 + size])))
             del self._buffer[: 4 + size]
         return messages
 
 
-def _read(body: bytes) -> Message:
+def _parse(body: bytes) -> Message:
     try:
         message = json.loads(body)
     except (ValueError, RecursionError):
-        raise ProtocolError(f"no JSON: {body[:60]!r}") from None
+        raise ProtocolError(f"invalid JSON: {body[:60]!r}") from None
     if not isinstance(message, dict) or not isinstance(message.get("t"), str):
-        raise ProtocolError(f"no message: {body[:60]!r}")
-    for name, kind in _MEMBERS.get(message["t"], {}).items():
+        raise ProtocolError(f"not a message: {body[:60]!r}")
+    for name, expected in _MEMBERS.get(message["t"], {}).items():
         value = message.get(name)
-        if not isinstance(value, kind) or (kind is int and isinstance(value, bool)):
-            raise ProtocolError(f"{message['t']}.{name} is {value!r:.60}")
+        if not isinstance(value, expected) or (expected is int and isinstance(value, bool)):
+            raise ProtocolError(f"{message['t']}.{name} has the wrong type: {value!r:.60}")
     return message
 
 
 def pick_version(offered: list[Any]) -> int:
-    """The highest version that both sides speak; ProtocolError if there is none."""
+    """Return the highest version that both sides support. Raises ProtocolError if there is none."""
     common = {v for v in offered if isinstance(v, int)} & set(VERSIONS)
     if not common:
-        raise ProtocolError(f"no common version: you speak {offered!r:.60}, I speak {list(VERSIONS)}")
+        raise ProtocolError(f"no common protocol version: offered {offered!r:.60}, supported {list(VERSIONS)}")
     return max(common)
 
 
 def digest(values: Mapping[str, Any]) -> str:
-    """What a set of settings is known by: 32 hexadecimal digits, the same for the same settings."""
+    """Return 32 hexadecimal digits that identify a set of settings, whatever the order of its keys."""
     text = json.dumps(values, sort_keys=True, separators=(",", ":"), allow_nan=False)
     return hashlib.sha256(text.encode()).hexdigest()[:32]
--- a/covetally/control/state_file.py
+++ b/covetally/control/state_file.py
@@ -1,4 +1,4 @@
-"""The file in which a sidecar's memory outlives its process: settings taken, and what was ordered of it."""
+"""The file that keeps a sidecar's revisions and orders across restarts (`control.keep`)."""
 
 from __future__ import annotations
 
@@ -16,24 +16,24 @@
 
 @dataclass(frozen=True, slots=True)
 class SavedState:
-    """What is in the file."""
+    """The content of the file."""
 
-    memory: RevisionState = RevisionState()
+    revision_state: RevisionState = RevisionState()
     orders: Orders = NO_ORDERS
 
 
 def read(path: Path) -> SavedState:
-    """What is kept, nothing where there is no file; ValueError if the file cannot be used."""
+    """Return the saved state, an empty one if there is no file. Raises ValueError if the file cannot be used."""
     data = files.read(path, MAX_FILE_BYTES)
     if data is None:
         return SavedState()
-    table = json.loads(data)
-    memory = revisions.from_dict(table)
-    # A file of a version that kept no orders has none.
-    return SavedState(memory, orders.from_dict(table["orders"]) if "orders" in table else NO_ORDERS)
+    document = json.loads(data)
+    revision_state = revisions.from_dict(document)
+    # Files of versions that did not save orders lack this key.
+    return SavedState(revision_state, orders.from_dict(document["orders"]) if "orders" in document else NO_ORDERS)
 
 
-def write(path: Path, kept: SavedState) -> None:
-    """Replace the file's content, wholly or not at all, also if the machine stops; OSError if it cannot be."""
-    table = revisions.to_dict(kept.memory) | {"orders": kept.orders.as_dict()}
-    files.replace(path, json.dumps(table, indent=1).encode())
+def write(path: Path, state: SavedState) -> None:
+    """Replace the file atomically, also if the machine stops meanwhile. Raises OSError if that fails."""
+    document = revisions.to_dict(state.revision_state) | {"orders": state.orders.as_dict()}
+    files.replace(path, json.dumps(document, indent=1).encode())
--- a/covetally/control/status.py
+++ b/covetally/control/status.py
@@ -1,4 +1,4 @@
-"""What a managed sidecar can tell of itself."""
+"""The status that a managed sidecar reports: counters, health, a full snapshot and its last log lines."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class RecentLog(logging.Handler):
-    """The last log lines, and the last of them that tell of trouble."""
+    """A log handler that keeps the last log lines, and the last warnings and errors among them."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -37,14 +37,14 @@
 
 
 class Roster(Protocol):
-    """What is told of a roster with every heartbeat."""
+    """The part of a roster that every heartbeat reports."""
 
     def brief(self) -> dict[str, Any]:
-        """Its level and how many nodes it has."""
+        """Return its level and its number of nodes."""
 
 
 class ObservedProcess(Protocol):
-    """What of a sidecar is read. `roster` is None where the platform's list is believed at once."""
+    """What is read from a sidecar process. `roster` is None where the platform's list is applied at once."""
 
     config: Config
     sidecar: Sidecar
@@ -56,47 +56,47 @@
 
     @property
     def state(self) -> str:
-        """serving or draining."""
+        """`serving` or `draining`."""
 
 
 class ProcessStatus:
-    """Counts final answers by class, from `start` to `stop`."""
+    """The status of one sidecar process. Counts final answers by class between `start` and `stop`."""
 
     def __init__(self, process: ObservedProcess) -> None:
         self._process = process
-        self._classes = [c.name for c in process.config.settings.classes]
-        # served, refused, failed, the client left
-        self._counts = [[0, 0, 0, 0] for _ in self._classes]
+        self._class_names = [c.name for c in process.config.settings.classes]
+        # By class: served, refused, failed, client disconnected.
+        self._counts = [[0, 0, 0, 0] for _ in self._class_names]
         self.recent_log = RecentLog()
         self.started = time.time()
 
     def start(self) -> None:
-        """Begin to count."""
-        self._process.sidecar.on_final = self._final
+        """Start counting final answers and recording log lines."""
+        self._process.sidecar.on_final = self._count_answer
         logging.getLogger().addHandler(self.recent_log)
 
     def stop(self) -> None:
-        """Count no more."""
+        """Stop counting and recording."""
         self._process.sidecar.on_final = None
         logging.getLogger().removeHandler(self.recent_log)
 
-    def _final(self, cls: int, answer: HttpResponse | None) -> None:
+    def _count_answer(self, cls: int, answer: HttpResponse | None) -> None:
         if answer is None:
-            kind = 3
+            outcome = 3
         elif answer.status == 200:
-            kind = 0
+            outcome = 0
         else:
-            kind = 1 if answer.status in REFUSED_STATUSES else 2
-        self._counts[cls][kind] += 1
+            outcome = 1 if answer.status in REFUSED_STATUSES else 2
+        self._counts[cls][outcome] += 1
 
-    # --- what is told ---------------------------------------------------------------------------
+    # --- reports --------------------------------------------------------------------------------
 
     def counts(self) -> dict[str, list[int]]:
-        """By class: [served, refused, failed, left] since the start."""
-        return dict(zip(self._classes, map(list, self._counts), strict=True))
+        """Return [served, refused, failed, client disconnected] by class since the start."""
+        return dict(zip(self._class_names, map(list, self._counts), strict=True))
 
     def heartbeat(self) -> dict[str, Any]:
-        """What goes with every heartbeat. The worst lag is of the time since the last one."""
+        """Return the content of a heartbeat. `lag_ms` is the worst loop lag since the previous one."""
         process = self._process
         return {
             "counts": self.counts(),
@@ -107,11 +107,11 @@
         } | ({"roster": process.roster.brief()} if process.roster is not None else {})
 
     async def logs(self) -> list[dict[str, Any]]:
-        """The last log lines, oldest first."""
+        """Return the last log lines, oldest first."""
         return list(self.recent_log.lines)
 
     async def snapshot(self) -> dict[str, Any]:
-        """All there is to tell."""
+        """Return the full status: the heartbeat, limits, classes, nodes, violations and recent errors."""
         process, config = self._process, self._process.config
         return self.heartbeat() | {
             "pid": os.getpid(),
--- a/covetally/errors/__init__.py
+++ b/covetally/errors/__init__.py
@@ -1,19 +1,19 @@
-"""The root of all errors that leave a package, and their families. Each has a code that stays, what happened, and
-what an operator can do about it. docs/operators/errors.md is made from them: `python -m
+"""The base class of all errors that leave a package, and its families. Each error has a stable code, a message,
+and a remedy for the operator. docs/operators/errors.md is generated from them: `python -m
 covetally.errors.page`."""
 
 from __future__ import annotations
 
 
 class CindersailError(Exception):
-    """Something went wrong that an operator may have to know of.
+    """The base class of errors that an operator may have to know about.
 
-    `code` stays the same over versions, `status` is the API's answer, `exit_status` the command's. `remedy` is a
-    sentence in the imperative; one that belongs to the case at hand may be given in its place.
+    `code` is stable across versions, `status` is the HTTP status of the API, `exit_status` that of the command.
+    `remedy` is a sentence in the imperative; an instance may replace it with a more specific one.
     """
 
     code = "failed"
-    remedy = "Look at the log of the process that said it, and report it with that log."
+    remedy = "Look at the log of the process that reported it, and report the failure with that log."
     status = 500
     exit_status = 1
 
@@ -24,16 +24,16 @@
             self.remedy = remedy
 
     def as_dict(self) -> dict[str, str]:
-        """For the API and --json."""
+        """Return the error as a JSON object, for the API and --json."""
         return {"code": self.code, "error": self.message, "remedy": self.remedy}
 
     def as_line(self) -> str:
-        """For the command and the log, in one line."""
+        """Return the error in one line, for the command and the log."""
         return f"{self.message} [{self.code}]: {self.remedy}"
 
 
 class ConfigurationError(CindersailError):
-    """What was asked for, or configured, cannot be had."""
+    """The request or the configuration is not valid."""
 
     code = "configuration"
     remedy = "Correct the named key, and check the file with `cindersail check FILE` before it is used."
@@ -42,32 +42,32 @@
 
 
 class ContactError(CindersailError):
-    """Another process cannot be reached, or does not answer."""
+    """Another process cannot be reached or does not answer."""
 
     code = "contact"
-    remedy = "See that the named process runs and can be reached from here, then ask again."
+    remedy = "Check that the named process runs and can be reached from here, then try again."
     status = 504
 
 
 class RefusedError(CindersailError):
-    """A rule forbids it now."""
+    """A rule does not allow the operation now."""
 
     code = "refused"
-    remedy = "Wait until the named condition is over, or change the rule by name."
+    remedy = "Wait until the named condition is over, or change the named rule."
     status = 409
 
 
 class DamagedError(CindersailError):
-    """Bytes or kept state that cannot be read."""
+    """Received or stored data cannot be parsed."""
 
     code = "damaged"
-    remedy = "Look at what wrote it; it is left aside and nothing of it is used."
+    remedy = "Check what wrote the data; it was ignored as a whole."
     status = 422
 
 
 class OverloadedError(CindersailError):
-    """More was asked than can be done."""
+    """The load exceeds the capacity."""
 
     code = "overloaded"
-    remedy = "Ask again after the time that the answer names."
+    remedy = "Try again after the time that the answer states."
     status = 503
--- a/covetally/errors/page.py
+++ b/covetally/errors/page.py
@@ -1,4 +1,4 @@
-"""The page of all errors, made from their types: `python -m covetally.errors.page > docs/operators/errors.md`."""
+"""Generates the reference of all errors: `python -m covetally.errors.page > docs/operators/errors.md`."""
 
 from __future__ import annotations
 
@@ -9,37 +9,37 @@
 import covetally
 from covetally.errors import CindersailError
 
-HEAD = """# Errors
+HEADER = """# Errors
 
-Made from the types by `python -m covetally.errors.page`. A code stays the same over versions; the API answers
-with the status, the command ends with the exit status and says what happened, the code, and what to do.
+Generated from the error classes by `python -m covetally.errors.page`. A code is stable across versions. The API
+answers with the status; the command exits with the exit status and prints the message, the code and the remedy.
 
-| code | what it is | do | API | exit |
+| code | meaning | remedy | API | exit |
 | --- | --- | --- | --- | --- |
 """
 
 
-def types() -> list[type[CindersailError]]:
-    """Every type in the program, the root left out, by code."""
-    for found in pkgutil.walk_packages(covetally.__path__, "covetally."):
-        if not found.name.endswith("__main__"):
-            importlib.import_module(found.name)
-    return sorted(set(_below(CindersailError)), key=lambda kind: kind.code)
+def error_types() -> list[type[CindersailError]]:
+    """Return all error classes except the base class, sorted by code."""
+    for module in pkgutil.walk_packages(covetally.__path__, "covetally."):
+        if not module.name.endswith("__main__"):
+            importlib.import_module(module.name)
+    return sorted(set(_subclasses(CindersailError)), key=lambda error_type: error_type.code)
 
 
-def _below(kind: type[CindersailError]) -> Iterator[type[CindersailError]]:
-    for child in kind.__subclasses__():
+def _subclasses(error_type: type[CindersailError]) -> Iterator[type[CindersailError]]:
+    for child in error_type.__subclasses__():
         yield child
-        yield from _below(child)
+        yield from _subclasses(child)
 
 
 def page() -> str:
-    """The whole page."""
+    """Return the content of the page."""
     rows = []
-    for kind in types():
-        what = " ".join((kind.__doc__ or "").split("\n\n")[0].split()).replace("|", "or")
-        rows.append(f"| `{kind.code}` | {what} | {kind.remedy} | {kind.status} | {kind.exit_status} |")
-    return HEAD + "\n".join(rows) + "\n"
+    for kind in error_types():
+        meaning = " ".join((kind.__doc__ or "").split("\n\n")[0].split()).replace("|", "or")
+        rows.append(f"| `{kind.code}` | {meaning} | {kind.remedy} | {kind.status} | {kind.exit_status} |")
+    return HEADER + "\n".join(rows) + "\n"
 
 
 if __name__ == "__main__":
--- a/covetally/operator/__init__.py
+++ b/covetally/operator/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' file: what may be set, how it is checked, and what can change while a sidecar runs."""
+"""The operator settings file: its schema, its validation, and which settings can change at run time."""
--- a/covetally/operator/example.py
+++ b/covetally/operator/example.py
@@ -1,4 +1,4 @@
-"""The commented example of an operators' file, from the schema: what deploy/operator.toml holds."""
+"""Generates the commented example of the operator settings file, deploy/operator.toml, from the schema."""
 
 from __future__ import annotations
 
@@ -41,41 +41,41 @@
     "control.token_file": '"/etc/cindersail/token"',
     "control.keep": '"/var/lib/cindersail/n3.json"',
 }
-_FREE = {"classes": "module-lookup", "control.labels": "zone"}
-_FREE |= {"tier.rate_per_s": "officina-brescia", "tier.in_flight": "officina-brescia"}
-_FREE |= {"caps.client": "officina-brescia", "caps.node": "officina-brescia"}
+_WILDCARD_EXAMPLES = {"classes": "module-lookup", "control.labels": "zone"}
+_WILDCARD_EXAMPLES |= {"tier.rate_per_s": "officina-brescia", "tier.in_flight": "officina-brescia"}
+_WILDCARD_EXAMPLES |= {"caps.client": "officina-brescia", "caps.node": "officina-brescia"}
 
-HEAD = """\
-# The operators' file: what the platform's configuration does not say, or what is to hold in its place.
+HEADER = """\
+# The operator settings file: additions to the platform's configuration, and replacements of its values.
 # Pass it with `--operator FILE` or COVETALLY_OPERATOR=FILE; check it with `cindersail check FILE`.
-# Every key is listed with what it does and its default. All are off as the file stands: a sidecar that is
-# given it runs as one that is not. (now): changes while the sidecar runs. (restart): taken up at its start.
+# Every key is listed with its meaning and its default, and is commented out: a sidecar runs with this file as
+# it does without one. (now): changes take effect while the sidecar runs. (restart): at the next start.
 """
 
 
 def text() -> str:
-    """The file."""
-    parts, section = [HEAD], ""
+    """Return the content of the file."""
+    parts, section = [HEADER], ""
     for key in KEYS:
-        table, name = _place(key)
+        table, name = _table_and_name(key)
         if table != section:
             parts.append(f"\n# [{table}]\n")
             section = table
-        default = _default(key)
-        how = "now" if key.live else "restart"
-        mine = "" if key.managed else ", this file only"
-        parts.append(f"# {key.description}; default: {key.default} ({how}{mine})\n# {name} = {default}\n")
+        value = _example_value(key)
+        when = "now" if key.live else "restart"
+        scope = "" if key.managed else ", this file only"
+        parts.append(f"# {key.description}; default: {key.default} ({when}{scope})\n# {name} = {value}\n")
     return "".join(parts)
 
 
-def _place(key: Key) -> tuple[str, str]:
-    """The table and the name within it, with an example in the free part."""
+def _table_and_name(key: Key) -> tuple[str, str]:
+    """Return the table and the name within it, with an example in place of the wildcard."""
     table, _, name = key.name.rpartition(".")
-    table = table.replace("*", _FREE["classes"])
-    return table, _FREE[table] if name == "*" else name
+    table = table.replace("*", _WILDCARD_EXAMPLES["classes"])
+    return table, _WILDCARD_EXAMPLES[table] if name == "*" else name
 
 
-def _default(key: Key) -> str:
+def _example_value(key: Key) -> str:
     if key.name in _SAMPLES:
         return _SAMPLES[key.name]
     return f'"{key.default}"' if key.kind in ("word", "name", "path") else key.default
--- a/covetally/operator/files.py
+++ b/covetally/operator/files.py
@@ -1,4 +1,4 @@
-"""Files that outlive a process."""
+"""Reading and atomically replacing files that have to survive a restart."""
 
 from __future__ import annotations
 
@@ -6,30 +6,32 @@
 from pathlib import Path
 
 
-def read(path: Path, most: int) -> bytes | None:
-    """What a file holds, None where there is none; ValueError if it cannot be read or is over `most` bytes."""
+def read(path: Path, max_bytes: int) -> bytes | None:
+    """Return the content of a file, or None if it does not exist. Raises ValueError if it cannot be read or is
+    longer than `max_bytes`."""
     try:
         with path.open("rb") as file:
-            data = file.read(most + 1)
+            data = file.read(max_bytes + 1)
     except FileNotFoundError:
         return None
     except OSError as error:
         raise ValueError(str(error)) from None
-    if len(data) > most:
-        raise ValueError(f"over {most} bytes")
+    if len(data) > max_bytes:
+        raise ValueError(f"longer than {max_bytes} bytes")
     return data
 
 
 def replace(path: Path, data: bytes) -> None:
-    """Replace a file's content, wholly or not at all, also if the machine stops; OSError if it cannot be."""
-    beside = path.with_name(f"{path.name}.new")
-    with beside.open("wb") as file:
+    """Replace the content of a file atomically, also if the machine stops meanwhile. Raises OSError if it
+    fails."""
+    temporary = path.with_name(f"{path.name}.new")
+    with temporary.open("wb") as file:
         file.write(data)
         file.flush()
         os.fsync(file.fileno())
-    os.replace(beside, path)
-    folder = os.open(path.parent, os.O_RDONLY)
+    os.replace(temporary, path)
+    directory = os.open(path.parent, os.O_RDONLY)
     try:
-        os.fsync(folder)
+        os.fsync(directory)
     finally:
-        os.close(folder)
+        os.close(directory)
--- a/covetally/operator/url.py
+++ b/covetally/operator/url.py
@@ -1,4 +1,4 @@
-"""Addresses of outside systems as operators write them."""
+"""Parses the URLs of external systems in operator settings."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Url:
-    """An address of a registry, taken apart. `path` has no slash at its end."""
+    """The parsed URL of a registry. `path` has no trailing slash."""
 
     host: str
     port: int
@@ -17,7 +17,7 @@
 
     @property
     def origin(self) -> tuple[str, int]:
-        """Host and port."""
+        """The host and the port."""
         return self.host, self.port
 
     def __str__(self) -> str:
@@ -26,11 +26,11 @@
 
 
 def split_url(text: str) -> Url:
-    """Take an address apart; ValueError if it is not http://A.B.C.D:PORT/PATH. There is no DNS."""
+    """Parse a URL. Raises ValueError if it is not http://A.B.C.D:PORT/PATH; host names are not resolved."""
     parts = urlsplit(text.strip())
     port = parts.port if parts.port is not None else 80
     if parts.scheme != "http" or parts.username is not None or parts.query or parts.fragment or port < 1:
-        raise ValueError(f"not http://A.B.C.D:PORT/PATH: {text!r}")
+        raise ValueError(f"not a URL of the form http://A.B.C.D:PORT/PATH: {text!r}")
     if any(not 0x20 < ord(c) < 0x7F for c in parts.path):
-        raise ValueError(f"not a path: {parts.path!r}")
+        raise ValueError(f"invalid characters in the path: {parts.path!r}")
     return Url(str(ip_address(parts.hostname or "")), port, parts.path.rstrip("/"))
--- a/tests/control/test_disk_failures.py
+++ b/tests/control/test_disk_failures.py
@@ -128,11 +128,11 @@
         instance = SimpleNamespace(configuration=SimpleNamespace(own=own, platform=platform))
         managed = manager.Manager(instance)
         monkeypatch.setattr(state_file, "write", write)
-        monkeypatch.setattr(manager, "KEEP_AGAIN_S", 0.02)
-        managed._memory = RevisionState(trial=Revision(1, digest({}), {}))
-        await managed._proven()
+        monkeypatch.setattr(manager, "SAVE_RETRY_S", 0.02)
+        managed._revisions = RevisionState(trial=Revision(1, digest({}), {}))
+        await managed._accept_trial()
         await wait_until(path.exists)
-        assert state_file.read(path).memory.good.revision == 1
+        assert state_file.read(path).revision_state.good.revision == 1
         assert caplog.text.count("make room on the disk") == 1
 
     asyncio.run(main())
@@ -145,10 +145,10 @@
     configuration = SimpleNamespace(own=own, platform=SimpleNamespace(name="a0"))
     instance = SimpleNamespace(configuration=configuration, shutting_down=True, drain=lambda within_s: None)
     table = Orders(3, draining=True).as_dict()
-    assert asyncio.run(manager.Manager(instance)._done({"what": "drain", "orders": table})) == ""
+    assert asyncio.run(manager.Manager(instance)._carry_out({"what": "drain", "orders": table})) == ""
     assert manager.Manager(instance).orders == Orders(3, draining=True)
     late = {"what": "resume", "orders": Orders(2).as_dict()}
-    assert "revision 3 are held here" in asyncio.run(manager.Manager(instance)._done(late))
+    assert "revision 3 are held here" in asyncio.run(manager.Manager(instance)._carry_out(late))
 
 
 def test_a_roster_that_changes_while_the_disk_refuses_is_kept_once_it_is_well():
--- a/tests/control/test_revisions.py
+++ b/tests/control/test_revisions.py
@@ -15,7 +15,7 @@
 from covetally.control.orders import Orders
 from covetally.control.protocol import Decoder, ProtocolError, digest, encode, pick_version
 from covetally.control.reconnect import ReconnectBackoff
-from covetally.control.revisions import Revision, RevisionState, Action
+from covetally.control.revisions import Action, Revision, RevisionState
 
 
 def held(revision: int, **values) -> Revision:
@@ -133,7 +133,7 @@
     (tmp_path / "keep.json.new").write_text('{"format": 1, "goo')
     assert state_file.read(path) == SavedState(RevisionState(good=ONE), DRAINED)
     state_file.write(path, SavedState(RevisionState(good=ONE, trial=TWO)))
-    assert state_file.read(path).memory.in_force == TWO
+    assert state_file.read(path).revision_state.in_force == TWO
 
 
 @pytest.mark.parametrize(
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -9,7 +9,7 @@
 
 from covetally.cli import client
 from covetally.errors import CindersailError
-from covetally.errors.page import page, types
+from covetally.errors.page import error_types, page
 from covetally.fleet import serve
 from covetally.fleet.refused import Refused
 from covetally.fleet.serve import StartError
@@ -24,7 +24,7 @@
     assert (ROOT / "docs/operators/errors.md").read_text() == page(), "python -m covetally.errors.page"
 
 
-@pytest.mark.parametrize("kind", types(), ids=lambda kind: kind.__name__)
+@pytest.mark.parametrize("kind", error_types(), ids=lambda kind: kind.__name__)
 def test_every_type_says_what_to_do_and_is_met_by_a_test(kind):
     assert re.fullmatch(r"[a-z][a-z-]+", kind.code) and kind.exit_status in (1, 2) and 400 <= kind.status < 600
     assert re.match(r"[A-Z][a-z]+ ", kind.remedy) and kind.remedy.endswith("."), "a sentence in the imperative"
@@ -41,7 +41,7 @@
 
 
 def test_codes_are_each_one_type_s():
-    codes = [kind.code for kind in types()]
+    codes = [kind.code for kind in error_types()]
     assert len(codes) == len(set(codes)) > 20
 
 
