--- a/covetally/control/status.py
+++ b/covetally/control/status.py
@@ -39,7 +39,7 @@
 class Roster(Protocol):
     """The part of a roster that every heartbeat reports."""
 
-    def brief(self) -> dict[str, Any]:
+    def heartbeat_summary(self) -> dict[str, Any]:
         """Return its level and its number of nodes."""
 
 
@@ -72,12 +72,12 @@
 
     def start(self) -> None:
         """Start counting final answers and recording log lines."""
-        self._process.sidecar.on_final = self._count_answer
+        self._process.sidecar.on_completed = self._count_answer
         logging.getLogger().addHandler(self.recent_log)
 
     def stop(self) -> None:
         """Stop counting and recording."""
-        self._process.sidecar.on_final = None
+        self._process.sidecar.on_completed = None
         logging.getLogger().removeHandler(self.recent_log)
 
     def _count_answer(self, cls: int, answer: HttpResponse | None) -> None:
@@ -101,10 +101,10 @@
         return {
             "counts": self.counts(),
             "shed": process.frontend.shed_requests,
-            "open": process.sidecar.open,
+            "open": process.sidecar.open_requests,
             "lag_ms": round(process.monitor.take_worst_s() * 1000, 1),
             "state": process.state,
-        } | ({"roster": process.roster.brief()} if process.roster is not None else {})
+        } | ({"roster": process.roster.heartbeat_summary()} if process.roster is not None else {})
 
     async def logs(self) -> list[dict[str, Any]]:
         """Return the last log lines, oldest first."""
--- a/covetally/fleet/links.py
+++ b/covetally/fleet/links.py
@@ -1,8 +1,8 @@
 """The links that instances hold to the agent: let in, greeted, bounded, ended.
 
 Nobody here trusts an instance. A link that says nothing is ended after HANDSHAKE_TIMEOUT_S, and of those that
-have said nothing only so many are held; one that sends what cannot be read, too much or too
-fast, or does not read what it is sent, is ended; none of them can hold up another.
+have said nothing only so many are held; one that sends what cannot be read, too much or too fast, or does not
+read what it is sent, is ended; none of them can hold up another.
 """
 
 from __future__ import annotations
--- a/covetally/net/sidecar.py
+++ b/covetally/net/sidecar.py
@@ -1,6 +1,6 @@
-"""Drives the module: what happens on sockets becomes its events, its actions happen on sockets.
+"""Connects the balancer to the sockets: translates socket events into its events, and carries out its actions.
 
-Nothing is decided here. Each request taken gets exactly one final answer, each attempt exactly one outcome.
+No decision is made here. Each accepted request gets exactly one final answer, each attempt exactly one outcome.
 """
 
 from __future__ import annotations
@@ -40,20 +40,20 @@
 from covetally.net.clock import Clock
 from covetally.net.invariants import Invariant, Violations
 from covetally.net.http_message import HttpResponse, encode
-from covetally.net.outcome import Bounds, Outcome, Request
+from covetally.net.outcome import AttemptLimits, Outcome, Request
 from covetally.net.repeat_guard import may_repeat
 from covetally.net.upstream import Upstream
-from covetally.net.wheel import Timer
+from covetally.net.timer_wheel import Timer
 from covetally.policy import Balancer
 
 log = logging.getLogger(__name__)
 
-OVERDUE_NS = 10_000_000  # an answer that the module still owes so long after the deadline is given for it,
-SWEEP_S = 0.02  # at the latest so long after that
+OVERDUE_NS = 10_000_000  # a request without an answer so long after its deadline is answered without the balancer
+SWEEP_S = 0.02  # how often that is checked
 
 
-class Arrival(NamedTuple):
-    """What the module is told of a request whose head was read; see `Accept`."""
+class RequestInfo(NamedTuple):
+    """The attributes of a request that the balancer needs, read from its head; see `RequestReceived`."""
 
     cls: int
     ttl_ns: int
@@ -64,51 +64,51 @@
     upgrade: bool = False
 
 
-class Watcher(Protocol):
-    """What knows requests beside the module: the fleet's overload line (covetally/overload)."""
+class RequestObserver(Protocol):
+    """An observer of all requests beside the balancer: fleet-wide load shedding (covetally/overload)."""
 
-    def place(self, name: bytes, cls: int, tenant: int, retry: bool) -> float:
-        """A request's place in the fleet's one order."""
+    def assign_priority(self, name: bytes, cls: int, tenant: int, retry: bool) -> float:
+        """Return a request's priority, on one scale for the whole fleet."""
 
-    def outcome(self, event: AttemptEnded, cls: int) -> None:
-        """How an attempt ended."""
+    def on_attempt_ended(self, event: AttemptEnded, cls: int) -> None:
+        """Called when an attempt has ended."""
 
-    def ended(self, served: bool) -> None:
-        """How a request ended."""
+    def on_request_ended(self, served: bool) -> None:
+        """Called when a request is finished; `served` says whether its answer was a 200."""
 
 
 class Exchange(Protocol):
-    """A client's request and the way back to that client."""
+    """A client's request, and the means to answer it."""
 
     @property
     def request(self) -> Request: ...
 
     @property
     def trace_id(self) -> bytes:
-        """The id that its client gave it."""
+        """The id that the client gave the request."""
 
-    def wanted(self) -> bool:
-        """Whether its client is still there; one that has left is hung up."""
+    def client_connected(self) -> bool:
+        """Return whether the client is still connected. If it has left, the request is cancelled."""
 
-    def finish(self, answer: HttpResponse) -> None:
-        """Give the whole answer."""
+    def finish(self, response: HttpResponse) -> None:
+        """Send the complete answer to the client."""
 
 
 @dataclass(slots=True, eq=False)
 class _Call:
-    """A request that is owed an answer, or whose attempts are still out."""
+    """A request that is owed an answer, or that has attempts without an outcome."""
 
     exchange: Exchange
     cls: int
     deadline_ns: int
     attempts: dict[int, Attempt] = field(default_factory=dict)
-    sent: int = 0
-    ran_at_ns: int = 0  # when the first attempt began that may have run; 0: none
-    over: bool = False
+    sent: int = 0  # the number of attempts so far
+    ran_at_ns: int = 0  # when the first attempt that may have run was started; 0: none
+    over: bool = False  # the final answer was given, or the client has left
 
 
 class Sidecar:
-    """One balancer and the sockets round it."""
+    """A balancer with the sockets that it controls."""
 
     def __init__(
         self,
@@ -116,167 +116,173 @@
         seed: int,
         clock: Clock,
         upstream: Upstream,
-        signal: Callable[[int, bytes], None],
+        send_gossip: Callable[[int, bytes], None],
         subscribe: Callable[[], None],
     ) -> None:
         self._clock = clock
         self.wheel = clock.wheel
         self._upstream = upstream
-        self._signal = signal
+        self._send_gossip = send_gossip
         self._subscribe = subscribe
         self._calls: dict[str, _Call] = {}
-        self._taken = 0
+        self._accepted = 0
         self._sweep: Timer | None = None
-        self.on_outcome: Callable[[str, AttemptStatus], None] | None = None  # server, how an attempt there ended
-        # the same, and the class of the call and when the attempt was sent
+        # Called with the server and the outcome of each attempt.
+        self.on_outcome: Callable[[str, AttemptStatus], None] | None = None
+        # Called with the server, the outcome, the class of the call and the start time of the attempt.
         self.on_attempt: Callable[[str, AttemptStatus, int, int], None] | None = None
-        self.watcher: Watcher | None = None
-        # class, answer; None: the client left
-        self.on_final: Callable[[int, HttpResponse | None], None] | None = None
+        self.observer: RequestObserver | None = None
+        # Called with the class and the final answer of each request; None: the client has left.
+        self.on_completed: Callable[[int, HttpResponse | None], None] | None = None
         self.violations = Violations()
         self._classes = settings.classes
-        self.tracing = False  # each attempt and each answer is logged, at DEBUG
-        self._end_ns = 0  # when the last answer is to be given, once the process is told to end; 0 before
+        self.tracing = False  # log each attempt and each answer at DEBUG
+        self._shutdown_ns = 0  # during shutdown: when the last answer is due; 0 before
         self._balancer = Balancer(settings, seed, clock.now())
 
-    def retune(self, settings: Settings) -> None:
-        """Other figures for the same classes, from here on."""
+    def reconfigure(self, settings: Settings) -> None:
+        """Apply changed settings; the classes themselves must be the same."""
         self._classes = settings.classes
         self._balancer.reconfigure(settings)
 
-    def beliefs(self) -> list[ServerStatus]:
-        """What the module believes of each server."""
+    def server_statuses(self) -> list[ServerStatus]:
+        """Return the balancer's view of each server."""
         return self._balancer.server_statuses(self._clock.now())
 
     def zones(self) -> dict[str, int]:
-        """The servers on the list, with the zone of each."""
+        """Return the zone of each server that is up."""
         return self._balancer.zones()
 
     @property
-    def open(self) -> int:
-        """Requests that are owed an answer or have attempts out."""
+    def open_requests(self) -> int:
+        """The number of requests that are owed an answer or have attempts without an outcome."""
         return len(self._calls)
 
     # --- events ---------------------------------------------------------------------------------
 
     @property
     def shedding(self) -> bool:
-        """Whether it is worth to ask `glance`."""
+        """Whether the balancer sheds load, so that `early_refusal` may refuse requests."""
         return self._balancer.shedding
 
     @property
-    def old_ns(self) -> int:
-        """What has waited for longer is refused while it sheds."""
+    def max_wait_ns(self) -> int:
+        """While the balancer sheds load, requests that have waited for longer are refused."""
         return self._balancer.queue_age_limit
 
-    def glance(self, age_ns: int, retry: bool) -> bytes:
-        """The refusal, on the wire, for a request that has waited so long and need not be read; empty if it is
-        let in."""
+    def early_refusal(self, age_ns: int, retry: bool) -> bytes:
+        """Return the encoded refusal for a request that has waited for `age_ns` and is not parsed yet; empty if
+        the request is admitted."""
         hold_off_ns = self._balancer.overload_hold_off(self._clock.now(), age_ns, retry)
-        return _refused(hold_off_ns) if hold_off_ns else b""
+        return _encoded_refusal(hold_off_ns) if hold_off_ns else b""
 
-    def take(
-        self, exchange: Exchange, arrival: Arrival, age_ns: int = 0, let_in: bool = False, name: bytes = b""
+    def accept(
+        self, exchange: Exchange, info: RequestInfo, age_ns: int = 0, admitted: bool = False, name: bytes = b""
     ) -> str:
-        """A client's request is whole, and has been for so long: an answer is owed from now on. Returns the id
-        that it is known by here."""
-        self._taken += 1
-        tid = f"{self._taken:016x}"
-        cls, ttl_ns, *rest, upgrade = arrival
+        """Accept a request that was completely received `age_ns` ago: from now on an answer is owed. Returns its
+        internal id. `admitted` says that `early_refusal` has admitted it already."""
+        self._accepted += 1
+        tid = f"{self._accepted:016x}"
+        cls, ttl_ns, *rest, upgrade = info
         ttl_ns = max(ttl_ns - age_ns, 1)
         now = self._clock.now()
-        if self._end_ns:
-            ttl_ns = max(min(ttl_ns, self._end_ns - now), 1)
+        if self._shutdown_ns:
+            ttl_ns = max(min(ttl_ns, self._shutdown_ns - now), 1)
         self._calls[tid] = _Call(exchange, cls, now + ttl_ns)
         if self._sweep is None:
-            self._sweep_later()
-        place = 0.0
-        if self.watcher is not None:
-            place = self.watcher.place(name, cls, arrival.tenant, arrival.retry)
-        self._handle(RequestReceived(tid, cls, ttl_ns, *rest, age_ns, let_in, upgrade, place), now)
+            self._schedule_sweep()
+        priority = 0.0
+        if self.observer is not None:
+            priority = self.observer.assign_priority(name, cls, info.tenant, info.retry)
+        self._handle(RequestReceived(tid, cls, ttl_ns, *rest, age_ns, admitted, upgrade, priority), now)
         return tid
 
-    def end_by(self, at: float) -> None:
-        """The process ends: whatever is open, and whatever is still taken, is answered by `at`, on the loop's
-        clock. What cannot be served by then is refused where that is true of it, and fails otherwise."""
+    def shut_down_by(self, at: float) -> None:
+        """Answer all open requests, and those that are still accepted, by `at` on the loop's clock.
+
+        Requests that cannot be served by then are refused if they never ran, and fail otherwise.
+        """
         now = self._clock.now()
-        self._end_ns = max(now + int((at - asyncio.get_running_loop().time()) * 1e9), 1)
+        self._shutdown_ns = max(now + int((at - asyncio.get_running_loop().time()) * 1e9), 1)
         for call in self._calls.values():
-            call.deadline_ns = min(call.deadline_ns, self._end_ns)
+            call.deadline_ns = min(call.deadline_ns, self._shutdown_ns)
             for attempt in call.attempts.values():
-                attempt.abandon_by(self._end_ns)
-        self._handle(Shutdown(self._end_ns), now)
+                attempt.shorten_timeout(self._shutdown_ns)
+        self._handle(Shutdown(self._shutdown_ns), now)
 
-    def hang_up(self, tid: str) -> None:
-        """The client left. Its attempts are called off: their connections are closed."""
+    def client_left(self, tid: str) -> None:
+        """Cancel a request whose client has left, and close the connections of its attempts."""
         call = self._calls.get(tid)
         if call is None or call.over:
             return
         self._close(call, None)
         if self.tracing:
-            log.debug("request %s: its client left", self._name(tid))
+            log.debug("request %s: the client has left", self._client_id(tid))
         self._handle(ClientDisconnected(tid))
-        self._forget(tid, call)
+        self._remove_if_done(tid, call)
 
-    def directory(self, event: ServerListUpdate) -> None:
-        """An update of the list of servers."""
+    def update_servers(self, event: ServerListUpdate) -> None:
+        """Pass an update of the server list on to the balancer."""
         self._handle(event)
 
-    def suspect(self, server: str) -> None:
-        """A server does not answer, as other evidence than attempts tells."""
+    def report_unresponsive(self, server: str) -> None:
+        """Report that a server does not respond, on evidence other than attempts."""
         self._handle(ServerUnresponsive(server))
 
-    def advise(self, event: Event) -> None:
-        """What the sidecars of the tier together make of servers, or this one's part of a limit."""
+    def handle_event(self, event: Event) -> None:
+        """Pass an event on to the balancer, such as the tier's view of servers or this sidecar's share of a
+        limit."""
         self._handle(event)
 
     def demand(self) -> dict[tuple[int, bool], int]:
-        """What was wanted of each limit since this was last read; see the module."""
+        """Return how much of each limit was requested since the last call; see `Balancer.demand`."""
         return self._balancer.demand()
 
-    def holds(self, server: str, change: int) -> None:
-        """So many more connections of another protocol are open to a server, or fewer."""
+    def adjust_held_connections(self, server: str, change: int) -> None:
+        """Report that `change` more connections of another protocol are open to a server, or fewer."""
         self._handle(UpgradedConnections(server, change))
 
-    def heard(self, blob: bytes) -> None:
-        """A message from another sidecar."""
+    def receive_gossip(self, blob: bytes) -> None:
+        """Pass a gossip message from another sidecar on to the balancer."""
         self._handle(PeerMessage(blob))
 
-    def _sweep_later(self) -> None:
+    def _schedule_sweep(self) -> None:
         loop = asyncio.get_running_loop()
         self._sweep = self.wheel.call_at(loop.time() + SWEEP_S, self._answer_overdue)
 
     def _answer_overdue(self) -> None:
-        """Answer whatever the module owes past its deadline: a bug there must not leave the client waiting.
+        """Answer requests that the balancer has left unanswered past their deadline, so that a bug in it does
+        not leave a client waiting.
 
-        One look at all that is open now and then. A timer for each would be set and cancelled with every request.
+        A periodic check of all open requests replaces a timer for each, which would be set and cancelled with
+        every request.
         """
         self._sweep = None
-        late = self._clock.now() - OVERDUE_NS
-        for tid, call in [pair for pair in self._calls.items() if pair[1].deadline_ns < late]:
+        overdue_before = self._clock.now() - OVERDUE_NS
+        for tid, call in [pair for pair in self._calls.items() if pair[1].deadline_ns < overdue_before]:
             if not call.over:
-                self.violations.report(Invariant.OVERDUE, self._name(tid), "not answered by its deadline")
-                self.hang_up(tid)
+                self.violations.report(Invariant.OVERDUE, self._client_id(tid), "not answered by its deadline")
+                self.client_left(tid)
                 call.exchange.finish(HttpResponse(502, []))
         if self._calls:
-            self._sweep_later()
+            self._schedule_sweep()
 
     def _handle(self, event: Event, now: int = 0) -> None:
         now = now or self._clock.now()
         try:
             actions = self._balancer.handle(now, event)
-        except Exception:  # a bug in the module costs the request at hand, never the process
-            log.exception("the module failed on %s", type(event).__name__)
+        except Exception:  # a bug in the balancer affects only the request at hand, not the process
+            log.exception("unhandled exception in the balancer on %s", type(event).__name__)
             actions = [Fail(event.tid)] if isinstance(event, RequestReceived | AttemptEnded) else []
         for action in actions:
             if type(action) is Submit:
                 self._submit(action, now)
             else:
-                self._carry_out(action)
+                self._execute(action)
 
     # --- actions --------------------------------------------------------------------------------
 
-    def _carry_out(self, action: Action) -> None:
+    def _execute(self, action: Action) -> None:
         match action:
             case Refuse(tid, hold_off_ns):
                 self._finish(tid, refusal(hold_off_ns))
@@ -286,10 +292,10 @@
                 call = self._calls.get(tid)
                 if call is not None and attempt in call.attempts:
                     call.attempts[attempt].cancel()
-            case SetTimer(in_ns, tag):
-                asyncio.get_running_loop().call_later(in_ns / 1e9, self._handle, TimerFired(tag))
+            case SetTimer(delay_ns, tag):
+                asyncio.get_running_loop().call_later(delay_ns / 1e9, self._handle, TimerFired(tag))
             case SendToPeer(peer, blob):
-                self._signal(peer, blob)
+                self._send_gossip(peer, blob)
             case Subscribe():
                 self._subscribe()
 
@@ -306,87 +312,91 @@
             asyncio.get_running_loop().call_soon(self._handle, event)
             return
         if self.tracing:
-            log.debug("request %s: attempt %d at %s", self._name(action.tid), number, action.server)
-        done = partial(self._settle, action, call, number, now)
-        bounds = Bounds(abandon_ns, call.exchange.wanted, action.begin_by_ns)
-        call.attempts[number] = self._upstream.attempt(action.server, call.exchange.request, bounds, done)
+            log.debug("request %s: attempt %d at %s", self._client_id(action.tid), number, action.server)
+        done = partial(self._attempt_ended, action, call, number, now)
+        limits = AttemptLimits(abandon_ns, call.exchange.client_connected, action.begin_by_ns)
+        call.attempts[number] = self._upstream.attempt(action.server, call.exchange.request, limits, done)
 
     def _may_repeat(self, action: Submit, call: _Call, now: int) -> bool:
-        """Whether a further attempt is harmless; one that is not is a violation, and does not begin."""
+        """Return whether a further attempt is safe. If not, a violation is reported and the attempt does not
+        start."""
         known = 0 <= call.cls < len(self._classes)
         cls = self._classes[call.cls] if known else replace(self._classes[0], repeat="single_shot")
         if may_repeat(cls, len(call.attempts), call.ran_at_ns, now):
             return True
         detail = f"attempt {call.sent - 1} at {action.server} of a request that may have run"
-        self.violations.report(Invariant.UNSAFE_REPEAT, self._name(action.tid), detail)
+        self.violations.report(Invariant.UNSAFE_REPEAT, self._client_id(action.tid), detail)
         return False
 
-    def _name(self, tid: str) -> str:
-        """The id that a request's client gave it."""
+    def _client_id(self, tid: str) -> str:
+        """Return the id that the client gave a request."""
         call = self._calls.get(tid)
         return call.exchange.trace_id.decode("latin-1") if call is not None else tid
 
-    def _settle(self, action: Submit, call: _Call, number: int, sent_ns: int, outcome: Outcome) -> None:
-        """Tell the module an attempt's one outcome."""
+    def _attempt_ended(self, action: Submit, call: _Call, number: int, sent_ns: int, outcome: Outcome) -> None:
+        """Report the outcome of an attempt to the balancer, and answer the client if the outcome settles the
+        request."""
         del call.attempts[number]
         tid = action.tid
         if self.tracing:
-            log.debug("request %s: attempt %d ended: %s", self._name(tid), number, outcome.how.name)
-        if (answer := outcome.answer) is not None:
-            if answer.switched is not None:
-                answer = answer._replace(switched=answer.switched._replace(name=action.server))
+            log.debug("request %s: attempt %d ended: %s", self._client_id(tid), number, outcome.status.name)
+        if (response := outcome.response) is not None:
+            if response.switched is not None:
+                response = response._replace(switched=response.switched._replace(name=action.server))
             if not call.over:
-                self._close(call, answer)
-                call.exchange.finish(answer)
-            elif answer.switched is not None:
-                answer.switched.sock.close()  # nobody is left to have it
-        elif not call.ran_at_ns and outcome.how not in NOT_EXECUTED:
+                self._close(call, response)
+                call.exchange.finish(response)
+            elif response.switched is not None:
+                response.switched.sock.close()  # the client has left
+        elif not call.ran_at_ns and outcome.status not in NOT_EXECUTED:
             call.ran_at_ns = sent_ns
         if self.on_outcome is not None:
-            self.on_outcome(action.server, outcome.how)
+            self.on_outcome(action.server, outcome.status)
         if self.on_attempt is not None:
-            self.on_attempt(action.server, outcome.how, call.cls, sent_ns)
+            self.on_attempt(action.server, outcome.status, call.cls, sent_ns)
         now = self._clock.now()
-        passed_ns = now - sent_ns
-        lag_ns = outcome.lag_ns or passed_ns
-        own_ns = max(0, passed_ns - lag_ns)
-        event = AttemptEnded(tid, outcome.how, lag_ns, action.server, number, call.over, outcome.load, own_ns)
-        if self.watcher is not None:
-            self.watcher.outcome(event, call.cls)
+        elapsed_ns = now - sent_ns
+        latency_ns = outcome.latency_ns or elapsed_ns
+        local_ns = max(0, elapsed_ns - latency_ns)
+        event = AttemptEnded(
+            tid, outcome.status, latency_ns, action.server, number, call.over, outcome.load, local_ns
+        )
+        if self.observer is not None:
+            self.observer.on_attempt_ended(event, call.cls)
         self._handle(event, now)
-        self._forget(tid, call)
+        self._remove_if_done(tid, call)
 
-    def _finish(self, tid: str, answer: HttpResponse) -> None:
+    def _finish(self, tid: str, response: HttpResponse) -> None:
         call = self._calls.get(tid)
         if call is None or call.over:
             return
-        self._close(call, answer)
+        self._close(call, response)
         if self.tracing:
-            log.debug("request %s: answered with %d without a server", self._name(tid), answer.status)
-        call.exchange.finish(answer)
-        self._forget(tid, call)
+            log.debug("request %s: answered with %d without a server", self._client_id(tid), response.status)
+        call.exchange.finish(response)
+        self._remove_if_done(tid, call)
 
-    def _close(self, call: _Call, answer: HttpResponse | None) -> None:
-        """The request is over: whatever was still out for it is called off."""
+    def _close(self, call: _Call, response: HttpResponse | None) -> None:
+        """End a request and cancel its remaining attempts."""
         call.over = True
-        if self.on_final is not None:
-            self.on_final(call.cls, answer)
-        if self.watcher is not None:
-            self.watcher.ended(answer is not None and answer.status == 200)
+        if self.on_completed is not None:
+            self.on_completed(call.cls, response)
+        if self.observer is not None:
+            self.observer.on_request_ended(response is not None and response.status == 200)
         for attempt in call.attempts.values():
             attempt.cancel()
 
-    def _forget(self, tid: str, call: _Call) -> None:
+    def _remove_if_done(self, tid: str, call: _Call) -> None:
         if call.over and not call.attempts:
             self._calls.pop(tid, None)
 
 
 @lru_cache(maxsize=64)
-def _refused(hold_off_ns: int) -> bytes:
-    answer = refusal(hold_off_ns)
-    return encode(b"HTTP/1.1 %d " % answer.status, [*answer.headers, (b"content-length", b"0")], b"")
+def _encoded_refusal(hold_off_ns: int) -> bytes:
+    response = refusal(hold_off_ns)
+    return encode(b"HTTP/1.1 %d " % response.status, [*response.headers, (b"content-length", b"0")], b"")
 
 
 def refusal(hold_off_ns: int) -> HttpResponse:
-    """A refusal that says when to come back."""
+    """Return a refusal that tells the client when to retry."""
     return HttpResponse(503, [(b"retry-after", b"%.3f" % (hold_off_ns / 1e9))] if hold_off_ns > 0 else [])
--- a/tests/crossings/test_leaving.py
+++ b/tests/crossings/test_leaving.py
@@ -155,12 +155,12 @@
     if state == "settling":
         monkeypatch.setattr(upstream, "SETTLE_S", 0.3)
     else:
-        monkeypatch.setattr(upstream, "WARY_HOLD_BACK_S", 0.3)
+        monkeypatch.setattr(upstream, "DISTRUST_LAST_BYTE_DELAY_S", 0.3)
 
     async def main():
         async with sidecar_harness(respond_ok) as harness:
             assert await harness.status(request("one")) == 200
-            harness.upstream.broke()
+            harness.upstream.record_broken_idle()
             client = connect_client(harness)
             client.send(request("gone"))
             await wait_until(lambda: harness.sidecar._calls)
