--- a/covetally/control/manager.py
+++ b/covetally/control/manager.py
@@ -156,7 +156,7 @@
     async def _run_connection(self) -> None:
         async with asyncio.timeout(HANDSHAKE_TIMEOUT_S):
             reader, writer = await self._connect()
-        decoder, beats = Decoder(), None
+        decoder, heartbeat_task = Decoder(), None
         try:
             self._writer = writer
             self._send(self._hello_message())
@@ -171,7 +171,7 @@
             if "orders" in first and (problem := await self._receive_orders(first["orders"])):
                 log.error("cannot apply the orders of the agent: %s", problem)
             self._disconnect_logged = False
-            beats = asyncio.create_task(self._send_heartbeats())
+            heartbeat_task = asyncio.create_task(self._send_heartbeats())
             while True:
                 for message in messages:
                     await self._handle(message)
@@ -183,8 +183,8 @@
                     raise ProtocolError(f"the agent has sent nothing for {silence_s:g} s") from None
         finally:
             self._writer = None
-            if beats is not None:
-                beats.cancel()
+            if heartbeat_task is not None:
+                heartbeat_task.cancel()
             writer.transport.abort()
 
     async def _connect(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
@@ -214,15 +214,17 @@
         writer.write(encode(message))
 
     def _hello_message(self) -> Message:
-        now, memory = self._revisions.in_force, self._revisions
+        current, state = self._revisions.in_force, self._revisions
         return {
-            "t": "hello", "versions": list(VERSIONS), "name": self.name, "boot": self._boot_id, "pid":
-            os.getpid(), "version": _version(), "labels": self._labels, "started": self.status_source.started,
-            "revision": now.revision, "digest": now.digest, "values": dict(now.values), "pending":
-            memory.pending.digest if memory.pending else "", "failed": memory.failed.digest if memory.failed
-            else "", "reason": memory.reason, "may_restart": bool(self._own.get("control.may_restart", False)),
-            "epoch": self._highest_epoch, "keeps": self._state_path is not None, "orders":
-            self.orders.as_dict(), "token": self._token(), "beat": self._heartbeat_message(),
+            "t": "hello", "versions": list(VERSIONS), "name": self.name, "boot": self._boot_id,
+            "pid": os.getpid(), "version": _version(), "labels": self._labels,
+            "started": self.status_source.started,
+            "revision": current.revision, "digest": current.digest, "values": dict(current.values),
+            "pending": state.pending.digest if state.pending else "",
+            "failed": state.failed.digest if state.failed else "", "reason": state.reason,
+            "may_restart": bool(self._own.get("control.may_restart", False)),
+            "epoch": self._highest_epoch, "keeps": self._state_path is not None, "orders": self.orders.as_dict(),
+            "token": self._token(), "beat": self._heartbeat_message(),
         }  # fmt: skip
 
     def _token(self) -> str:
@@ -241,10 +243,10 @@
         return float(self._instance.configuration.values.get("control.heartbeat_s", 5.0))
 
     def _heartbeat_message(self) -> Message:
-        memory = self._revisions
-        pending = memory.pending.digest if memory.pending else ""
-        ours = {"digest": memory.in_force.digest, "pending": pending, "orders": self.orders.revision}
-        return {"t": "beat"} | ours | self.status_source.heartbeat()
+        state = self._revisions
+        pending = state.pending.digest if state.pending else ""
+        own_state = {"digest": state.in_force.digest, "pending": pending, "orders": self.orders.revision}
+        return {"t": "beat"} | own_state | self.status_source.heartbeat()
 
     async def _send_heartbeats(self) -> None:
         while True:
@@ -265,34 +267,34 @@
                 self._send({"t": "answer", "id": message["id"], "error": problem, "state": self._instance.state})
 
     async def _answer_question(self, message: Message) -> dict[str, Any]:
-        what = message["what"]
-        if what == "snapshot":
-            now, memory = self._revisions.in_force, self._revisions
+        question = message["what"]
+        if question == "snapshot":
+            current, state = self._revisions.in_force, self._revisions
             managed = {
-                "revision": now.revision, "digest": now.digest, "values": dict(now.values),
-                "on_trial": memory.trial is not None, "settings": self._instance.configuration.values,
-                "pending": dict(memory.pending.values) if memory.pending else None, "failed": memory.reason,
+                "revision": current.revision, "digest": current.digest, "values": dict(current.values),
+                "on_trial": state.trial is not None, "settings": self._instance.configuration.values,
+                "pending": dict(state.pending.values) if state.pending else None, "failed": state.reason,
             }  # fmt: skip
             return {"data": await self.status_source.snapshot() | {"managed": managed}}
-        if what == "roster":
+        if question == "roster":
             return {"data": await self._instance.roster_table()}
-        if what == "would":
+        if question == "would":
             values = message.get("values")
             if not isinstance(values, dict):
                 return {"error": "values is missing or not an object"}
             problems, restart = self._check_offer(Revision(0, digest(values), values))
             return {"data": {"problems": problems, "restart": restart}}
-        if what == "overload":
+        if question == "overload":
             return {"data": await self._instance.overload_table()}
-        if what == "caps":
+        if question == "caps":
             return {"data": await self._instance.caps_table()}
-        if what == "tier":
+        if question == "tier":
             return {"data": await self._instance.tier_table()}
-        if what == "ping":
+        if question == "ping":
             return {}
-        if what == "logs":
+        if question == "logs":
             return {"data": await self.status_source.logs()}
-        return {"error": f"unknown question: {what:.40}"}
+        return {"error": f"unknown question: {question:.40}"}
 
     def _check_epoch(self, message: Message) -> str:
         """Return why an order is refused, else an empty string: an agent with a higher epoch has taken over."""
@@ -308,21 +310,21 @@
 
     async def _carry_out(self, message: Message) -> str:
         """Carry out an order. Return why it failed, else an empty string."""
-        what = message["what"]
-        if what in STATE_ORDERS:  # also during shutdown: saved for the next process
+        order = message["what"]
+        if order in STATE_ORDERS:  # also during shutdown: saved for the next process
             if "orders" in message:
                 return await self._receive_orders(message["orders"])
-            return await self._apply_orders(self.orders.with_order(what, self.orders.revision))
+            return await self._apply_orders(self.orders.with_order(order, self.orders.revision))
         if self._instance.shutting_down:
-            return "" if what == "restart" else "the sidecar is shutting down"
-        return self._run_action(what)
+            return "" if order == "restart" else "the sidecar is shutting down"
+        return self._run_action(order)
 
-    def _run_action(self, what: str) -> str:
+    def _run_action(self, action: str) -> str:
         """Carry out a one-time action. Return why it failed, else an empty string."""
         instance = self._instance
-        match what:
+        match action:
             case "believe":
-                if reason := instance.order_roster(what):
+                if reason := instance.order_roster(action):
                     return reason
             case "restart":
                 if not self._own.get("control.may_restart", False):
@@ -330,30 +332,30 @@
                 log.info("%s: restarting as ordered by the agent", self.name)
                 instance.begin_shutdown()
             case _:
-                return f"unknown action: {what:.40}"
-        log.info("%s: %s as ordered by the agent", self.name, what)
+                return f"unknown action: {action:.40}"
+        log.info("%s: %s as ordered by the agent", self.name, action)
         return ""
 
     # --- orders of operators --------------------------------------------------------------------
 
-    async def _receive_orders(self, table: Any) -> str:
+    async def _receive_orders(self, document: Any) -> str:
         """Apply the state that the agent sends, unless it is older than the current one. Return why it failed,
         else an empty string."""
         try:
-            wanted = from_dict(table)
+            wanted = from_dict(document)
         except ValueError as error:
             return str(error)
         if wanted.revision < self.orders.revision:
-            return f"orders of revision {self.orders.revision} are held here, and these are of {wanted.revision}"
+            return f"orders of revision {self.orders.revision} are in force, but these are of {wanted.revision}"
         return await self._apply_orders(wanted)
 
     async def _apply_orders(self, wanted: Orders) -> str:
         """Save a state, then apply it: a state that cannot be saved is not acknowledged. Return why it failed,
         else an empty string."""
-        before = self.orders
-        if wanted == before:
+        previous = self.orders
+        if wanted == previous:
             return ""
-        if wanted.roster is not before.roster:
+        if wanted.roster is not previous.roster:
             reason = self._instance.order_roster(wanted.roster.value)
             if reason and wanted.roster is not RosterMode.AUTO:  # without a roster, auto is in effect anyway
                 return reason
@@ -361,12 +363,12 @@
         try:
             await self._save()
         except OSError as error:
-            self.orders = before
-            self._instance.order_roster(before.roster.value)
+            self.orders = previous
+            self._instance.order_roster(previous.roster.value)
             return f"control.keep cannot be written: {error}"
         if wanted.draining:
             self._instance.drain(wanted.within_s)
-        elif before.draining:
+        elif previous.draining:
             self._instance.resume()
         log.info("%s: orders of revision %d: draining %s, roster %s", self.name, wanted.revision,
                  wanted.draining, wanted.roster.value)  # fmt: skip
@@ -375,23 +377,23 @@
     async def _handle_offer(self, message: Message) -> Message:
         offered = Revision(message["revision"], message["digest"], message["values"])
         problems, restart = self._check_offer(offered)
-        before = self._revisions
-        memory, step, reply = revisions.offer(before, offered, problems, restart)
-        if step is not Action.NONE:
+        previous = self._revisions
+        state, action, result = revisions.offer(previous, offered, problems, restart)
+        if action is not Action.NONE:
             try:
-                self._revisions = memory
+                self._revisions = state
                 await self._save()
-                if step is Action.APPLY:
+                if action is Action.APPLY:
                     self._instance.apply_managed(dict(offered.values))
                     self._schedule_acceptance()
             except (OSError, ConfigError) as error:
-                self._revisions = before
+                self._revisions = previous
                 refusal = {"key": "control.keep", "value": None, "reason": str(error), "remedy": ""}
-                reply = revisions.OfferResult("refused", offered, (refusal,))
-        log.info("revision %d: %s", offered.revision, reply.outcome)
+                result = revisions.OfferResult("refused", offered, (refusal,))
+        log.info("revision %d: %s", offered.revision, result.outcome)
         return {
-            "t": "ack", "revision": offered.revision, "digest": offered.digest, "outcome": reply.outcome,
-            "errors": list(reply.errors), "keys": list(reply.keys), "held": self._revisions.in_force.digest,
+            "t": "ack", "revision": offered.revision, "digest": offered.digest, "outcome": result.outcome,
+            "errors": list(result.errors), "keys": list(result.keys), "held": self._revisions.in_force.digest,
             "keeps": self._state_path is not None,
         }  # fmt: skip
 
