--- a/covetally/control/status.py
+++ b/covetally/control/status.py
@@ -137,7 +137,7 @@
                     "bad": round(b.failure_ratio, 3), "refused": b.connect_failures,
                     "wait_ms": round(b.wait_ns / 1e6, 1), "why": b.reason,
                 }
-                for b in process.sidecar.beliefs()
+                for b in process.sidecar.server_statuses()
             ],
             "held_up": {"count": process.monitor.held_up, "longest_s": round(process.monitor.longest_s, 3)},
             "violations": process.sidecar.violations.table(),
