--- a/covetally/control/manager.py
+++ b/covetally/control/manager.py
@@ -48,7 +48,7 @@
 
     def __init__(self, instance: Instance) -> None:
         self._instance = instance
-        self._own = own = instance.configuration.own
+        self._own = own = instance.configuration.file_settings
         self.name = str(own.get("control.name", instance.configuration.platform.name))
         self._labels = {
             k.removeprefix("control.labels."): v for k, v in own.items() if k.startswith("control.labels.")
@@ -403,7 +403,7 @@
 
         try:
             values = check.validate(offered.values, managed=True)
-            self._instance.configuration.try_managed(values)
+            self._instance.configuration.check_managed(values)
         except check.OperatorError as error:
             return [p.as_dict() for p in error.problems], []
         if digest(values) != offered.digest:
--- a/tests/control/test_disk_failures.py
+++ b/tests/control/test_disk_failures.py
@@ -129,7 +129,7 @@
     async def main():
         own = {"control.agent": "unix:none", "control.keep": str(path)}
         platform = SimpleNamespace(name="a0")
-        instance = SimpleNamespace(configuration=SimpleNamespace(own=own, platform=platform))
+        instance = SimpleNamespace(configuration=SimpleNamespace(file_settings=own, platform=platform))
         managed = manager.Manager(instance)
         monkeypatch.setattr(state_file, "write", write)
         monkeypatch.setattr(manager, "SAVE_RETRY_S", 0.02)
@@ -146,7 +146,7 @@
     """The order was refused, and the agent dropped it from the desired state."""
     path = tmp_path / "keep.json"
     own = {"control.agent": "unix:none", "control.keep": str(path)}
-    configuration = SimpleNamespace(own=own, platform=SimpleNamespace(name="a0"))
+    configuration = SimpleNamespace(file_settings=own, platform=SimpleNamespace(name="a0"))
     instance = SimpleNamespace(configuration=configuration, shutting_down=True, drain=lambda within_s: None)
     table = Orders(3, draining=True).as_dict()
     assert asyncio.run(manager.Manager(instance)._carry_out({"what": "drain", "orders": table})) == ""
