--- a/covetally/workers/supervisor.py
+++ b/covetally/workers/supervisor.py
@@ -20,7 +20,7 @@
 from typing import TYPE_CHECKING, Any
 
 from covetally.configuration import NO_ROSTER, Configuration
-from covetally.control.gauges import Ring
+from covetally.control.status import RecentLog
 from covetally.control.protocol import Message
 from covetally.loop_monitor import LoopMonitor
 from covetally.net.config import ConfigError
@@ -108,7 +108,7 @@
         await self._stop.wait()
         log.info("%s drains", config.name)
         if self.manager is not None:
-            self.manager.goodbye()
+            self.manager.announce_shutdown()
         self._do(self._pool.shut_down(self._now))
         self._listener.close()  # the workers close their own copies when they drain
         await self._all_exited.wait()
@@ -266,21 +266,21 @@
     @property
     def state(self) -> str:
         """The state of the sidecar: serving, draining or drained, by the last heartbeats of the workers."""
-        if self.ending or not self._drained:
-            return "draining" if self.ending else "serving"
+        if self.shutting_down or not self._drained:
+            return "draining" if self.shutting_down else "serving"
         states = [child.heartbeat.get("state") for child in self._children.values() if child.heartbeat]
         return "drained" if states and all(state == "drained" for state in states) else "draining"
 
     @property
-    def ending(self) -> bool:
+    def shutting_down(self) -> bool:
         """Whether it has been asked to end."""
         return self._stop.is_set()
 
-    def gauges(self) -> SupervisorStatus:
+    def status_source(self) -> SupervisorStatus:
         """Return the source of its heartbeats, snapshots and logs."""
         return SupervisorStatus(self)
 
-    def manage(self, values: Values) -> None:
+    def apply_managed(self, values: Values) -> None:
         """Apply the settings of the agent. Raises ConfigError and changes nothing if they cannot be used."""
         self.configuration.manage(values)
         self._broadcast("manage", values=values)
@@ -300,11 +300,11 @@
         """Reject clients from the start until `resume`."""
         self._drained = True
 
-    def end(self) -> None:
+    def begin_shutdown(self) -> None:
         """Drain and exit."""
         self._stop.set()
 
-    def order(self, what: str) -> str:
+    def order_roster(self, what: str) -> str:
         """Pass an order to the roster of each worker; return an empty string, or why there is no roster."""
         if self.configuration.values.get("roster.source", "off") == "off":
             return NO_ROSTER
@@ -343,11 +343,11 @@
 
 
 class SupervisorStatus:
-    """Reports the status of a sidecar of several workers (implements `Told` of control/instance.py)."""
+    """Reports the status of a sidecar of several workers (implements `StatusSource` of control/instance.py)."""
 
     def __init__(self, supervisor: Supervisor) -> None:
         self._supervisor = supervisor
-        self.recent_log = Ring()
+        self.recent_log = RecentLog()
         self.started = time.time()
 
     def start(self) -> None:
@@ -358,7 +358,7 @@
         """Stop keeping recent log lines."""
         logging.getLogger().removeHandler(self.recent_log)
 
-    def beat(self) -> dict[str, Any]:
+    def heartbeat(self) -> dict[str, Any]:
         """Return the content of a heartbeat."""
         supervisor = self._supervisor
         return merge.merge_heartbeats(supervisor.exited, supervisor.heartbeats(), supervisor.state) | {
@@ -370,7 +370,7 @@
         merged = merge.merge_snapshots(await self._supervisor.ask("snapshot"))
         errors = sorted([*merged["errors"], *self.recent_log.errors], key=lambda line: line["at"])[-20:]
         own = {"pid": os.getpid(), "started": self.started, "errors": errors}
-        heartbeat = self.beat()
+        heartbeat = self.heartbeat()
         return heartbeat | merged | own | {"workers": merged.get("workers") or heartbeat["workers"]}
 
     async def logs(self) -> list[dict[str, Any]]:
