--- a/tests/workers/test_managed.py
+++ b/tests/workers/test_managed.py
@@ -25,7 +25,7 @@
 def test_an_agent_changes_the_number_of_workers_and_their_settings():
     async def main():
         async with managed(WORKERS) as (_, agent):
-            reader, writer, hello = await agent.link()
+            reader, writer, hello = await agent.accept()
             assert hello["name"] == "a0"
             await heartbeat_with(agent, reader, 2)
             values = {"workers.count": 3, "limits.client_connections": 30}
@@ -50,7 +50,7 @@
 def test_a_sidecar_without_a_supervisor_refuses_a_number_of_workers():
     async def main():
         async with managed() as (_, agent):
-            reader, writer, _ = await agent.link()
+            reader, writer, _ = await agent.accept()
             ack = await agent.apply(reader, writer, 1, {"workers.count": 2})
             assert (ack["outcome"], ack["errors"][0]["key"]) == ("refused", "workers.count")
             assert "supervisor" in ack["errors"][0]["reason"]
