--- a/covetally/process.py
+++ b/covetally/process.py
@@ -42,7 +42,7 @@
     from covetally.membership.settings import MembershipConfig
     from covetally.operator.schema import Values
     from covetally.shared_decisions import SharedDecisions
-    from covetally.tier.shell import Shell
+    from covetally.tier.transport import TierTransport
 
 TIER_MAGIC, TIER_MIN_BYTES = 0x54, 18  # see covetally/tier/wire.py
 GOSSIP_MAGIC, GOSSIP_MIN_BYTES = 0x57, 13  # see covetally/gossip/frame.py
@@ -83,7 +83,7 @@
         self.serving = False  # it accepts requests
         self.on_ready: Callable[[], None] | None = None
         self.roster: MembershipService | None = None
-        self.tier: Shell | None = None
+        self.tier: TierTransport | None = None
         self.shared_decisions: SharedDecisions | None = None
         self.registrar: Registrar | None = None
         self.monitor = LoopMonitor()
@@ -233,14 +233,14 @@
         self.upstream.update(update.entries, update.full)
         self.sidecar.update_servers(ServerListUpdate(scope, tuple(entry for entry, _ in update.entries)))
         if self.tier is not None:
-            self.tier.listed(self.sidecar.zones())
+            self.tier.update_servers(self.sidecar.zones())
 
     # --- peers ----------------------------------------------------------------------------------
 
     def _on_datagram(self, sender: int, data: bytes) -> None:
         """Dispatch a datagram: the balancer's messages have 8 bytes, the others more and a magic number."""
         if self.tier is not None and len(data) > TIER_MIN_BYTES and data[0] == TIER_MAGIC:
-            self.tier.heard(sender, data)
+            self.tier.receive(sender, data)
         elif self.shared_decisions is not None and len(data) >= GOSSIP_MIN_BYTES and data[0] == GOSSIP_MAGIC:
             self.shared_decisions.receive(sender, data)
         else:
@@ -254,15 +254,17 @@
                 self.tier.stop()
                 self.tier = self.sidecar.on_attempt = None
         elif self.tier is not None:
-            self.tier.change(plan.size, plan.held)
+            self.tier.reconfigure(plan.size, plan.limits)
         else:
-            from covetally.tier.shell import Parts, Shell
+            from covetally.tier.transport import TierTransport, TransportCallbacks
 
-            parts = Parts(self.clock.now, self.peers.send, self.sidecar.handle_event, self.sidecar.demand)
-            incarnation, seed = secrets.randbits(32), self.config.seed
-            self.tier = Shell(plan.me, plan.size, incarnation, seed, plan.site, plan.held, parts)
-            self.sidecar.on_attempt = self.tier.outcome
-            self.tier.listed(self.sidecar.zones())
+            callbacks = TransportCallbacks(
+                self.clock.now, self.peers.send, self.sidecar.handle_event, self.sidecar.demand
+            )
+            boot_id, seed = secrets.randbits(32), self.config.seed
+            self.tier = TierTransport(plan.index, plan.size, boot_id, seed, plan.member, plan.limits, callbacks)
+            self.sidecar.on_attempt = self.tier.record_attempt
+            self.tier.update_servers(self.sidecar.zones())
             self.tier.start()
 
     def _update_shared_decisions(self) -> None:
