--- a/covetally/control/instance.py
+++ b/covetally/control/instance.py
@@ -49,7 +49,8 @@
         """Apply the settings of an agent. Raises ConfigError and changes nothing if they cannot be used."""
 
     def drain(self, within_s: float | None) -> None:
-        """Ask clients to leave and close all their connections after `within_s`; None: no time limit."""
+        """Ask clients to leave, and close their connections within `within_s` seconds, but not in less than the
+        longest deadline plus a margin; None: as soon as possible."""
 
     def resume(self) -> None:
         """Accept clients again."""
--- a/covetally/control/orders.py
+++ b/covetally/control/orders.py
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Orders:
-    """The ordered state. `within_s` is the time limit of a drain in seconds; None: no limit."""
+    """The ordered state. `within_s` is the duration of a drain in seconds; None: as short as possible."""
 
     revision: int = 0  # 0: no order has been given
     draining: bool = False
