--- a/covetally/fleet/api.py
+++ b/covetally/fleet/api.py
@@ -87,7 +87,7 @@
             request["who"], request["may"] = who, "operator"
             return await handler(request)
         secret = request.headers.get("Authorization", "").removeprefix("Bearer ").strip()
-        token = tokens.who(secret, ("reader", "operator")) if tokens is not None else None
+        token = tokens.authenticate(secret, ("reader", "operator")) if tokens is not None else None
         if token is None:
             return web.json_response({"error": "denied", "text": "no token that is known"}, status=401)
         request["who"], request["may"] = token.name, token.right
--- a/covetally/fleet/tokens.py
+++ b/covetally/fleet/tokens.py
@@ -1,8 +1,8 @@
-"""Who may: tokens in a file, one to a line, `NAME RIGHT TOKEN`; `#` begins a comment.
+"""Access tokens, read from a file with one `NAME RIGHT TOKEN` per line; `#` starts a comment.
 
-RIGHT is reader, operator or instance. For an instance NAME is a pattern that its name has to match, so that one
-instance's token does not let it claim another's name. The file is read again when it changes; a file that cannot
-be read, or holds a mistake, lets nobody in that it did not let in before, and is logged.
+RIGHT is reader, operator or instance. For an instance, NAME is a pattern that the instance's name has to match,
+so that an instance cannot use its token to claim another instance's name. The file is reloaded when it changes.
+If the changed file is unreadable or invalid, the error is logged and the previous tokens stay valid.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 log = logging.getLogger(__name__)
 
 RIGHTS = ("reader", "operator", "instance")
-SHORTEST = 16
+MIN_TOKEN_LENGTH = 16
 
 
 class TokenError(ConfigurationError, ValueError):
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Token:
-    """One line."""
+    """One token of the file: its name, the right it gives, and the secret."""
 
     name: str
     right: str
@@ -39,53 +39,60 @@
 
 
 def parse(text: str) -> list[Token]:
-    """The tokens of a file; TokenError on any mistake."""
+    """Parse the text of a tokens file; raises TokenError for an invalid line."""
     tokens = []
     for number, line in enumerate(text.splitlines(), 1):
-        words = line.partition("#")[0].split()
-        if not words:
+        columns = line.partition("#")[0].split()
+        if not columns:
             continue
-        if len(words) != 3 or words[1] not in RIGHTS:
-            raise TokenError(f"line {number}: has to be NAME RIGHT TOKEN, RIGHT one of {', '.join(RIGHTS)}")
-        if len(words[2]) < SHORTEST:
-            raise TokenError(f"line {number}: a token of {len(words[2])} characters, at least {SHORTEST}")
-        tokens.append(Token(words[0], words[1], words[2].encode()))
+        if len(columns) != 3 or columns[1] not in RIGHTS:
+            raise TokenError(
+                f"line {number}: must be NAME RIGHT TOKEN, where RIGHT is one of {', '.join(RIGHTS)}"
+            )
+        if len(columns[2]) < MIN_TOKEN_LENGTH:
+            raise TokenError(
+                f"line {number}: token has {len(columns[2])} characters, the minimum is {MIN_TOKEN_LENGTH}"
+            )
+        tokens.append(Token(columns[0], columns[1], columns[2].encode()))
     return tokens
 
 
 class Tokens:
-    """The file's tokens as they are now. TokenError or OSError if it cannot be used at first."""
+    """The current tokens of a file. The constructor raises TokenError or OSError if the file cannot be used."""
 
     def __init__(self, path: Path) -> None:
         self._path = path
-        self._stamp = self._look()
+        self._loaded_version = self._file_version()
         self._tokens = parse(path.read_text())
 
-    def _look(self) -> tuple[int, int, int]:
-        found = os.stat(self._path)
-        return found.st_mtime_ns, found.st_size, found.st_ino
+    def _file_version(self) -> tuple[int, int, int]:
+        status = os.stat(self._path)
+        return status.st_mtime_ns, status.st_size, status.st_ino
 
-    def _refresh(self) -> None:
+    def _reload_if_changed(self) -> None:
         try:
-            stamp = self._look()
-            if stamp != self._stamp:
-                self._stamp = stamp
+            version = self._file_version()
+            if version != self._loaded_version:
+                self._loaded_version = version
                 self._tokens = parse(self._path.read_text())
-                log.info("%s: read again", self._path)
+                log.info("%s: reloaded", self._path)
         except (OSError, ValueError) as error:
-            log.error("%s: %s: the tokens known before still hold", self._path, error)
+            log.error("%s: %s: keeping the previous tokens", self._path, error)
 
-    def who(self, secret: str, rights: tuple[str, ...]) -> Token | None:
-        """Whose token this is, if it gives one of these rights. All are compared, each in constant time."""
-        self._refresh()
+    def authenticate(self, secret: str, rights: tuple[str, ...]) -> Token | None:
+        """Return the token with this secret if it gives one of `rights`.
+
+        Compares against every token, each in constant time, so that timing does not reveal which one matched.
+        """
+        self._reload_if_changed()
         found = None
         for token in self._tokens:
-            same = hmac.compare_digest(token.secret, secret.encode(errors="replace"))
-            if same and token.right in rights:
+            matches = hmac.compare_digest(token.secret, secret.encode(errors="replace"))
+            if matches and token.right in rights:
                 found = token
         return found
 
     def admits(self, secret: str, instance: str) -> bool:
-        """Whether an instance of this name may come with this token."""
-        token = self.who(secret, ("instance",))
+        """Whether an instance with this name may connect with this token."""
+        token = self.authenticate(secret, ("instance",))
         return token is not None and fnmatchcase(instance, token.name)
--- a/tests/fleet/test_parts.py
+++ b/tests/fleet/test_parts.py
@@ -194,16 +194,19 @@
     path = tmp_path / "tokens"
     path.write_text(f"# who\nann operator {SECRET}\na* instance {OTHER}  # sidecars\n")
     known = tokens.Tokens(path)
-    assert known.who(SECRET, ("operator",)).name == "ann"
-    assert known.who(SECRET, ("instance",)) is None and known.who("x", ("operator",)) is None
+    assert known.authenticate(SECRET, ("operator",)).name == "ann"
+    assert known.authenticate(SECRET, ("instance",)) is None and known.authenticate("x", ("operator",)) is None
     assert known.admits(OTHER, "a7") and not known.admits(OTHER, "b7") and not known.admits(SECRET, "a7")
     path.write_text(f"bob operator {OTHER}\n")
     os.utime(path, ns=(1, 1))
-    assert known.who(SECRET, ("operator",)) is None and known.who(OTHER, ("operator",)).name == "bob"
+    assert (
+        known.authenticate(SECRET, ("operator",)) is None
+        and known.authenticate(OTHER, ("operator",)).name == "bob"
+    )
     path.write_text("bob operator")
-    assert known.who(OTHER, ("operator",)).name == "bob", "an invalid file changes nothing"
+    assert known.authenticate(OTHER, ("operator",)).name == "bob", "an invalid file changes nothing"
     path.unlink()
-    assert known.who(OTHER, ("operator",)).name == "bob"
+    assert known.authenticate(OTHER, ("operator",)).name == "bob"
 
 
 @pytest.mark.parametrize("text", ["ann operator", f"ann boss {SECRET}", "ann reader short"])
