--- a/covetally/fleet/agent.py
+++ b/covetally/fleet/agent.py
@@ -66,7 +66,7 @@
         self._tick_timer: asyncio.TimerHandle | None = None
         self.supervised: Callable[[], list[dict[str, Any]]] = list
         self.watchers = Watchers(self._rollout_table)
-        self._state = AgentState(store, self.instances, self.watchers.changed)
+        self._state = AgentState(store, self.instances, self.watchers.mark_changed)
         self.started = time.time()
         self._recover_until = 0.0
         self.recovered = store.get("recovered") == "yes"
@@ -114,10 +114,10 @@
     def _now(self) -> float:
         return time.monotonic()
 
-    # --- instances: Owner's side of links --------------------------------------------------------
+    # --- instances: the callbacks of links.LinkHandler --------------------------------------------
 
     def admit(self, link: Link, hello: Message) -> str | None:
-        """See `links.Owner`."""
+        """See `links.LinkHandler`."""
         if link.tcp and (self._admits is None or not self._admits(str(hello.get("token", "")), link.name)):
             return "its token does not let it in under this name"
         known = self.instances.get(link.name)
@@ -176,10 +176,10 @@
                 )
                 self._do(running, actions)
         self._place(instance, failed, reason)
-        self.watchers.tell({"instance": instance.name, "connected": True})
+        self.watchers.notify({"instance": instance.name, "connected": True})
 
     def received(self, link: Link, message: Message) -> None:
-        """See `links.Owner`."""
+        """See `links.LinkHandler`."""
         instance = self.instances.get(link.name)
         if instance is None or instance.link is not link:
             return
@@ -241,7 +241,7 @@
         self._soon()
 
     def ended(self, link: Link, reason: str) -> None:
-        """See `links.Owner`."""
+        """See `links.LinkHandler`."""
         instance = self.instances.get(link.name)
         if instance is None or instance.link is not link:
             return
@@ -250,7 +250,7 @@
             self._do(running, running.rollout.on_connection_lost(self._now(), instance.name, reason))
         self._state.unsaved_instances.add(instance.name)
         self._soon()
-        self.watchers.tell({"instance": instance.name, "connected": False, "reason": reason})
+        self.watchers.notify({"instance": instance.name, "connected": False, "reason": reason})
 
     def _of(self, instance: Instance) -> list[RolloutRecord]:
         """The rollouts that an instance is in and that may still have to know of it."""
--- a/covetally/fleet/links.py
+++ b/covetally/fleet/links.py
@@ -1,8 +1,8 @@
-"""The links that instances hold to the agent: let in, greeted, bounded, ended.
+"""The connections ("links") of instances to the agent: handshake, limits and closing.
 
-Nobody here trusts an instance. A link that says nothing is ended after HELLO_S, and of those that have said
-nothing only so many are held; one that sends what cannot be read, too much or too fast, or does not read what it
-is sent, is ended; none of them can hold up another.
+Instances are not trusted. A link that has not been accepted within HELLO_S is closed, and at most
+MAX_PENDING_LINKS links may be waiting to be accepted. A link that sends invalid, oversized or too many messages,
+or does not read what is sent to it, is closed as well. No link can delay another.
 """
 
 from __future__ import annotations
@@ -18,165 +18,171 @@
 
 log = logging.getLogger(__name__)
 
-MAX_SILENT = 1024  # links that have not said hello; past that the oldest of them goes
-MAX_UNSENT = 4 * 1024 * 1024
-BURST, PER_S = 400.0, 50.0  # messages of one link
-BACKLOG = 4096  # thousands may come back at once
+MAX_PENDING_LINKS = 1024  # links not yet accepted; beyond this the oldest of them is closed
+MAX_UNSENT_BYTES = 4 * 1024 * 1024
+MAX_BURST, MESSAGES_PER_S = 400.0, 50.0  # token bucket for the messages of one link
+BACKLOG = 4096  # thousands of instances may reconnect at the same time
 
 
-class Owner(Protocol):
-    """What the agent does with links."""
+class LinkHandler(Protocol):
+    """The callbacks for events on links, implemented by the agent."""
 
     def admit(self, link: Link, hello: Message) -> str | None:
-        """Let a named instance in, or say why not. None: it will be told later (`Link.welcome`, `Link.deny`)."""
+        """Decide on the hello of an instance.
+
+        Returns the reason to deny it, or None if the handler calls `Link.welcome` or `Link.deny` itself, now or
+        later.
+        """
 
     def received(self, link: Link, message: Message) -> None:
-        """A message of an instance that was let in."""
+        """Handle a message of an accepted instance."""
 
     def ended(self, link: Link, reason: str) -> None:
-        """The link of an instance that was let in has ended."""
+        """Handle the end of an accepted instance's link."""
 
 
 class Link(asyncio.Protocol):
-    """One instance's link."""
+    """The link of one instance."""
 
     def __init__(self, links: Links, tcp: bool) -> None:
         self._links = links
         self.tcp = tcp
         self.name = ""
         self.hello: Message = {}
-        self.let_in = False
+        self.accepted = False
         self.closed = False
         self._decoder = Decoder()
         self._transport: Any = None
         self._timer: asyncio.TimerHandle | None = None
-        self._allowed, self._allowed_at = BURST, 0.0
+        self._message_budget, self._budget_updated = MAX_BURST, 0.0
         self._reason = "the instance closed the link"
 
     def connection_made(self, transport: Any) -> None:
         self._transport = transport
         loop = asyncio.get_running_loop()
-        self._allowed_at = loop.time()
-        self._timer = loop.call_later(HELLO_S, self.end, "said no hello in time")
-        self._links.came(self)
+        self._budget_updated = loop.time()
+        self._timer = loop.call_later(HELLO_S, self.end, "sent no hello in time")
+        self._links.link_opened(self)
 
     def data_received(self, data: bytes) -> None:
         if self.closed:
             return
         try:
             for message in self._decoder.feed(data):
-                self._take(message)
+                self._handle_message(message)
                 if self.closed:
                     return
         except ProtocolError as error:
-            self.end(f"sent what cannot be read: {error}")
+            self.end(f"sent an invalid message: {error}")
 
-    def _take(self, message: Message) -> None:
+    def _handle_message(self, message: Message) -> None:
         now = asyncio.get_running_loop().time()
-        self._allowed = min(BURST, self._allowed + (now - self._allowed_at) * PER_S) - 1.0
-        self._allowed_at = now
-        if self._allowed < 0:
-            raise ProtocolError("too many messages")
-        if self.let_in:
-            self._links.owner.received(self, message)
+        self._message_budget = (
+            min(MAX_BURST, self._message_budget + (now - self._budget_updated) * MESSAGES_PER_S) - 1.0
+        )
+        self._budget_updated = now
+        if self._message_budget < 0:
+            raise ProtocolError("message rate limit exceeded")
+        if self.accepted:
+            self._links.handler.received(self, message)
         elif self.hello or message["t"] != "hello":
-            raise ProtocolError(f"{message['t']} before its hello was answered")
+            raise ProtocolError(f"{message['t']} before the hello was answered")
         else:
-            self._greet(message)
+            self._handle_hello(message)
 
-    def _greet(self, hello: Message) -> None:
+    def _handle_hello(self, hello: Message) -> None:
         version = pick_version(hello["versions"])
         self.hello, self.name = hello | {"picked": version}, hello["name"]
         if not 0 < len(self.name) <= 63 or not self.name.isprintable() or "/" in self.name:
-            raise ProtocolError("no name")
-        reason = self._links.owner.admit(self, self.hello)
+            raise ProtocolError("invalid instance name")
+        reason = self._links.handler.admit(self, self.hello)
         if reason:
             self.deny(reason)
 
     def welcome(self, orders: Orders = NO_ORDERS) -> None:
-        """Let it in, and say what an operator has ordered of it."""
-        self.let_in = True
-        self._links.greeted(self)
+        """Accept the instance, and send it the orders that operators have given for it."""
+        self.accepted = True
+        self._links.link_accepted(self)
         if self._timer is not None:
             self._timer.cancel()
-        wanted = {"orders": orders.table()} if orders.revision else {}
-        self.send({"t": "welcome", "version": self.hello["picked"]} | wanted)
+        order_fields = {"orders": orders.table()} if orders.revision else {}
+        self.send({"t": "welcome", "version": self.hello["picked"]} | order_fields)
 
     def deny(self, reason: str) -> None:
-        """Say why it is not let in, and end."""
-        log.warning("%s is not let in: %s", self.name, reason)
+        """Deny the instance: send it the reason and close the link."""
+        log.warning("%s is denied: %s", self.name, reason)
         self.send({"t": "deny", "reason": reason})
         self._reason = f"denied: {reason}"
         self.closed = True
         self._transport.close()
 
     def send(self, message: Message) -> bool:
-        """Queue a message; False if the link is ending."""
+        """Queue a message; returns False if the link is closing."""
         if self.closed or self._transport.is_closing():
             return False
-        if self._transport.get_write_buffer_size() > MAX_UNSENT:
-            self.end("does not read what it is sent")
+        if self._transport.get_write_buffer_size() > MAX_UNSENT_BYTES:
+            self.end("does not read the messages sent to it")
             return False
         self._transport.write(encode(message))
         return True
 
     def end(self, reason: str) -> None:
-        """End it now."""
+        """Close the link at once, dropping unsent messages."""
         if not self.closed:
             self._reason, self.closed = reason, True
-            log.info("link of %s ended: %s", self.name or "nobody", reason)
+            log.info("link of %s closed: %s", self.name or "an unnamed instance", reason)
             self._transport.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.closed = True
         if self._timer is not None:
             self._timer.cancel()
-        self._links.went(self)
-        if self.let_in:
-            self._links.owner.ended(self, self._reason if exc is None else f"{self._reason} ({exc})")
+        self._links.link_closed(self)
+        if self.accepted:
+            self._links.handler.ended(self, self._reason if exc is None else f"{self._reason} ({exc})")
 
 
 class Links:
-    """All of them, and the listeners they come by."""
+    """All links, and the listeners that accept them."""
 
-    def __init__(self, owner: Owner) -> None:
-        self.owner = owner
-        self._silent: dict[Link, None] = {}  # have not been let in, in the order of coming
-        self._servers: list[asyncio.Server] = []
+    def __init__(self, handler: LinkHandler) -> None:
+        self.handler = handler
+        self._pending: dict[Link, None] = {}  # links not yet accepted, oldest first
+        self._listeners: list[asyncio.Server] = []
 
     async def listen_unix(self, path: Path) -> None:
-        """Listen on a socket that only its owner may use."""
+        """Listen on a Unix socket that only the user of this process may use."""
         path.unlink(missing_ok=True)
         mask = os.umask(0o177)
         try:
             loop = asyncio.get_running_loop()
-            server = await loop.create_unix_server(lambda: Link(self, False), path, backlog=BACKLOG)
+            listener = await loop.create_unix_server(lambda: Link(self, False), path, backlog=BACKLOG)
         finally:
             os.umask(mask)
-        self._servers.append(server)
+        self._listeners.append(listener)
 
     async def listen_tcp(self, host: str, port: int) -> int:
-        """Listen on an address; returns the port."""
+        """Listen on a TCP address; returns the port."""
         loop = asyncio.get_running_loop()
-        server = await loop.create_server(lambda: Link(self, True), host, port, backlog=BACKLOG)
-        self._servers.append(server)
-        return server.sockets[0].getsockname()[1]
+        listener = await loop.create_server(lambda: Link(self, True), host, port, backlog=BACKLOG)
+        self._listeners.append(listener)
+        return listener.sockets[0].getsockname()[1]
 
-    def came(self, link: Link) -> None:
-        """A link is up."""
-        self._silent[link] = None
-        if len(self._silent) > MAX_SILENT:
-            next(iter(self._silent)).end("too many that say nothing")
+    def link_opened(self, link: Link) -> None:
+        """Count a new link as pending; closes the oldest pending one if there are too many."""
+        self._pending[link] = None
+        if len(self._pending) > MAX_PENDING_LINKS:
+            next(iter(self._pending)).end("too many links are waiting to be accepted")
 
-    def greeted(self, link: Link) -> None:
-        """A link was let in."""
-        self._silent.pop(link, None)
+    def link_accepted(self, link: Link) -> None:
+        """Stop counting an accepted link as pending."""
+        self._pending.pop(link, None)
 
-    def went(self, link: Link) -> None:
-        """A link has ended."""
-        self._silent.pop(link, None)
+    def link_closed(self, link: Link) -> None:
+        """Forget a closed link."""
+        self._pending.pop(link, None)
 
     def close(self) -> None:
-        """Let nobody in any more."""
-        for server in self._servers:
-            server.close()
+        """Stop accepting links. Existing links stay open."""
+        for listener in self._listeners:
+            listener.close()
--- a/covetally/fleet/watchers.py
+++ b/covetally/fleet/watchers.py
@@ -1,4 +1,8 @@
-"""Who watches the agent: told of instances at once, of rollouts no more often than they can be read."""
+"""Distributes updates to the clients that watch the agent.
+
+Updates about instances are sent at once. Changes of rollouts are combined, at most one update per rollout in each
+NOTIFY_INTERVAL_S, so that clients can keep up.
+"""
 
 from __future__ import annotations
 
@@ -7,33 +11,36 @@
 from collections.abc import Callable
 from typing import Any
 
-TELL_S = 0.2  # watchers are told of a rollout no more often
+NOTIFY_INTERVAL_S = 0.2  # minimum time between two updates about a rollout
 
 
 class Watchers:
-    """Their queues. `table` gives a rollout's for them, None if it is not kept any more."""
+    """The queues of the watching clients.
+
+    `rollout_table` returns the current state of a rollout as a dict, or None if the rollout is no longer kept.
+    """
 
-    def __init__(self, table: Callable[[int], dict[str, Any] | None]) -> None:
-        self._table = table
+    def __init__(self, rollout_table: Callable[[int], dict[str, Any] | None]) -> None:
+        self._rollout_table = rollout_table
         self.queues: set[asyncio.Queue[dict[str, Any]]] = set()
-        self._changed: set[int] = set()  # rollouts that nobody has been told of
+        self._changed: set[int] = set()  # rollouts changed since the last update
         self.timer: asyncio.TimerHandle | None = None
 
-    def tell(self, news: dict[str, Any]) -> None:
-        """Tell all of them; who does not read misses some."""
+    def notify(self, update: dict[str, Any]) -> None:
+        """Send an update to all watchers. It is dropped for a watcher whose queue is full."""
         for queue in self.queues:
             with contextlib.suppress(asyncio.QueueFull):
-                queue.put_nowait(news)
+                queue.put_nowait(update)
 
-    def changed(self, number: int) -> None:
-        """A rollout has changed; they are told within TELL_S."""
+    def mark_changed(self, number: int) -> None:
+        """Record that a rollout has changed; watchers are notified within NOTIFY_INTERVAL_S."""
         self._changed.add(number)
         if self.queues and self.timer is None:
-            self.timer = asyncio.get_running_loop().call_later(TELL_S, self._tell_changed)
+            self.timer = asyncio.get_running_loop().call_later(NOTIFY_INTERVAL_S, self._notify_changed)
 
-    def _tell_changed(self) -> None:
+    def _notify_changed(self) -> None:
         self.timer = None
         changed, self._changed = self._changed, set()
         for number in changed:
-            if (table := self._table(number)) is not None:
-                self.tell({"rollout": table})
+            if (table := self._rollout_table(number)) is not None:
+                self.notify({"rollout": table})
--- a/tests/fleet/test_links.py
+++ b/tests/fleet/test_links.py
@@ -110,7 +110,7 @@
 def test_a_thousand_and_more_that_say_nothing_keep_nobody_out(tmp_path):
     async def main():
         async with listening(tmp_path) as (owner, dial):
-            silent = [await dial() for _ in range(links.MAX_SILENT + 200)]
+            silent = [await dial() for _ in range(links.MAX_PENDING_LINKS + 200)]
             reader, writer = await dial()
             writer.write(frame(HELLO))
             assert b"welcome" in await reader.read(100)
@@ -143,7 +143,7 @@
             await read_all(reader)
             while not owner.gone:
                 await asyncio.sleep(0.01)
-            assert owner.gone[0][0] == "i0" and "cannot be read" in owner.gone[0][1]
+            assert owner.gone[0][0] == "i0" and "sent an invalid message" in owner.gone[0][1]
             other.write(frame({"t": "seen"}))
             while ("good", "seen") not in owner.got:
                 await asyncio.sleep(0.01)
