--- a/covetally/fleet/agent.py
+++ b/covetally/fleet/agent.py
@@ -16,7 +16,7 @@
 
 from covetally.control.protocol import Message, digest
 from covetally.fleet import registry, rollout
-from covetally.fleet.asks import PING_S, Asks
+from covetally.fleet.instance_requests import PING_TIMEOUT_S, InstanceRequests
 from covetally.fleet.audit import Audit
 from covetally.fleet.document import changed_keys, reverted_layer
 from covetally.fleet.drafts import Drafts, recovered_document
@@ -74,9 +74,9 @@
         self.clock = SteadyClock(store.get("clock"))
         self._keep_clock()
         self.orders = DesiredOrders(store)
-        self.asks = Asks(self.instances, self.orders, self.clock)
-        self.drafts = Drafts(store, self.instances, self.asks)
-        self.drains = Drains(store, self.asks, audit.write, self.clock)
+        self.instance_requests = InstanceRequests(self.instances, self.orders, self.clock)
+        self.drafts = Drafts(store, self.instances, self.instance_requests)
+        self.drains = Drains(store, self.instance_requests, audit.write, self.clock)
         self._opened = False
 
     def _keep_clock(self) -> None:
@@ -134,7 +134,7 @@
     async def _contest(self, known: Instance, link: Link) -> None:
         old = known.link
         try:
-            await self.asks.ask_link(known, {"t": "ask", "what": "ping"}, PING_S)
+            await self.instance_requests.request(known, {"t": "ask", "what": "ping"}, PING_TIMEOUT_S)
         except AgentRefusedError:
             if old is not None:
                 old.end("silent while another came under its name")
@@ -201,7 +201,7 @@
             case "ack":
                 self._acked(instance, message)
             case "answer":
-                self.asks.answered(instance.name, message)
+                self.instance_requests.receive_answer(instance.name, message)
             case "bye":
                 instance.left = str(message["reason"])[:200] or "ended"
                 for running in self._of(instance):
@@ -213,9 +213,9 @@
         """Tell an instance again what is wanted of it, where its heartbeat shows that it holds something else."""
         held = beat.get("orders")
         if isinstance(held, int):
-            self.asks.restore(instance, held)
+            self.instance_requests.restore(instance, held)
         elif self.orders.desired(instance.name).draining and beat["state"] == "serving":
-            self.asks.restore(instance, 0)  # of a version that keeps no orders
+            self.instance_requests.restore(instance, 0)  # of a version that keeps no orders
 
     def _acked(self, instance: Instance, message: Message) -> None:
         outcome, offered = message["outcome"], message["digest"]
@@ -418,10 +418,10 @@
             instance.link.send({"t": "apply", "revision": number, "digest": digest(values), "values": values})
 
     async def _restart(self, running: RolloutRecord, instance: Instance) -> None:
-        if self.asks.restarter(instance.name):
+        if self.instance_requests.restarter(instance.name):
             return
         try:
-            answer = await self.asks.ask_link(instance, {"t": "do", "what": "restart"})
+            answer = await self.instance_requests.request(instance, {"t": "do", "what": "restart"})
             denied = str(answer.get("error", ""))
         except AgentRefusedError:
             return  # its deadline, or its next hello, will tell
@@ -649,7 +649,7 @@
 
     async def ask_all(self, selector: str, what: str) -> dict[str, Any]:
         """Ask all that a selector means; by name what each answered, or {"error": why it did not}."""
-        return await self.asks.ask_all(self.select(selector), what)
+        return await self.instance_requests.ask_all(self.select(selector), what)
 
     async def order(self, command: Command, selector: str) -> list[dict[str, Any]]:
         """Drain or resume instances, or order their rosters; what each answered."""
@@ -658,7 +658,7 @@
         found = self.select(selector)
         names = [instance.name for instance in found][:1000]
         self._audit.write(command.who, command.action, selector=selector, instances=names, reason=command.why)
-        return list(await asyncio.gather(*(self.asks.do(instance, command) for instance in found)))
+        return list(await asyncio.gather(*(self.instance_requests.do(instance, command) for instance in found)))
 
     def forget(self, who: str, name: str) -> None:
         """Know nothing more of an instance that is away; AgentRefusedError if it is not."""
--- a/covetally/fleet/api.py
+++ b/covetally/fleet/api.py
@@ -250,13 +250,15 @@
         table = instance.as_dict() | wanted
         if instance.connected:
             try:
-                table["snapshot"] = await self._agent.asks.ask(name, "snapshot")
+                table["snapshot"] = await self._agent.instance_requests.ask(name, "snapshot")
             except AgentRefusedError as error:
                 table["note"] = str(error)
         return web.json_response(table)
 
     async def logs(self, request: web.Request) -> web.Response:
-        return web.json_response({"lines": await self._agent.asks.ask(request.match_info["name"], "logs")})
+        return web.json_response(
+            {"lines": await self._agent.instance_requests.ask(request.match_info["name"], "logs")}
+        )
 
     async def forget(self, request: web.Request) -> web.Response:
         self._agent.forget(request["who"], request.match_info["name"])
--- a/covetally/fleet/drafts.py
+++ b/covetally/fleet/drafts.py
@@ -8,7 +8,7 @@
 
 from covetally.control.protocol import digest
 from covetally.fleet import preflight
-from covetally.fleet.asks import Asks
+from covetally.fleet.instance_requests import InstanceRequests
 from covetally.fleet.document import Document, Layer, difference
 from covetally.fleet.errors import AgentRefusedError
 from covetally.fleet.registry import Instance
@@ -36,8 +36,10 @@
 class Drafts:
     """Prepares changes from the stored state; writes nothing."""
 
-    def __init__(self, store: Store, instances: Mapping[str, Instance], asks: Asks) -> None:
-        self._store, self._instances, self._asks = store, instances, asks
+    def __init__(
+        self, store: Store, instances: Mapping[str, Instance], instance_requests: InstanceRequests
+    ) -> None:
+        self._store, self._instances, self._instance_requests = store, instances, instance_requests
 
     def draft(
         self, who: str, parent: int, reason: str, selector: Selector, put: Mapping[str, Any] | None,
@@ -79,7 +81,7 @@
         desired = {i.name: document.effective(i.name, i.labels) for i in draft.affected if not i.left}
 
         async def ask_instance(name: str) -> Any:
-            return await self._asks.answer_of(name, "would", values=desired[name])
+            return await self._instance_requests.answer_of(name, "would", values=desired[name])
 
         return preflight.judge(await preflight.ask_all(desired, ask_instance))
 
--- a/covetally/fleet/serve.py
+++ b/covetally/fleet/serve.py
@@ -91,7 +91,7 @@
     store, audit, tokens, programs = _prepare(options)
     agent = Agent(store, audit, tokens.admits if tokens is not None else None, options.recover_s)
     keeper = Supervisor(store, programs, lambda name, text: audit.write("agent", text, instance=name))
-    agent.asks.restarter = keeper.restart
+    agent.instance_requests.restarter = keeper.restart
     agent.supervised = keeper.table
     links = Links(agent)
     runner = web.AppRunner(api.application(agent, audit, tokens), access_log=None, shutdown_timeout=END_S)
