--- a/covetally/fleet/drafts.py
+++ b/covetally/fleet/drafts.py
@@ -75,7 +75,7 @@
         would = self._effects(draft.affected, draft.revision)
         return {"dry_run": True, "revision": draft.revision.number, "changes": draft.changes, "would": would}
 
-    async def preflight(self, draft: Draft) -> preflight.Found:
+    async def preflight(self, draft: Draft) -> preflight.PreflightResult:
         """Ask each instance that a draft affects whether it would accept its settings."""
         document = draft.revision.document
         desired = {i.name: document.effective(i.name, i.labels) for i in draft.affected if not i.left}
@@ -83,7 +83,7 @@
         async def ask_instance(name: str) -> Any:
             return await self._instance_requests.answer_of(name, "would", values=desired[name])
 
-        return preflight.judge(await preflight.ask_all(desired, ask_instance))
+        return preflight.summarize(await preflight.ask_all(desired, ask_instance))
 
     def desired_settings(self, instance: Instance) -> dict[str, Any]:
         """The desired settings of an instance, and which layer sets each of them."""
--- a/tests/fleet/test_preflight.py
+++ b/tests/fleet/test_preflight.py
@@ -15,12 +15,12 @@
 
 
 def test_what_answers_come_to():
-    found = preflight.judge({
+    found = preflight.summarize({
         "a": {"problems": [], "restart": []}, "b": {"problems": [PROBLEM], "restart": []},
         "c": {"problems": [], "restart": ["process.backlog"]}, "d": {"error": "not connected"}, "e": None,
         "f": {"problems": "odd"},
     })  # fmt: skip
-    assert found.would == 2 and found.refused == {"b": "k: no"}
+    assert found.accepting == 2 and found.refused == {"b": "k: no"}
     assert found.restart == {"c": ["process.backlog"]}
     assert sorted(found.unknown) == ["d", "e", "f"] and found.unknown["d"] == "not connected"
     assert "1 would refuse it (b: k: no)" in found.text()
@@ -33,8 +33,8 @@
 
 @given(st.dictionaries(st.text(max_size=5), st.none() | st.integers() | st.text() | ANSWERS))
 def test_whatever_is_answered_each_is_counted_once(answers):
-    found = preflight.judge(answers)
-    assert found.would + len(found.refused) + len(found.unknown) == len(answers)
+    found = preflight.summarize(answers)
+    assert found.accepting + len(found.refused) + len(found.unknown) == len(answers)
 
 
 def test_who_is_silent_is_unknown_within_the_time_and_the_others_are_heard():
@@ -46,9 +46,9 @@
         return {"problems": [], "restart": []}
 
     names = ["silent", "breaks", *(f"i{n}" for n in range(600))]
-    found = preflight.judge(asyncio.run(preflight.ask_all(names, ask, 0.5)))
-    assert found.would == 600 and sorted(found.unknown) == ["breaks", "silent"]
-    assert preflight.judge(asyncio.run(preflight.ask_all([], ask, 0.5))).would == 0
+    found = preflight.summarize(asyncio.run(preflight.ask_all(names, ask, 0.5)))
+    assert found.accepting == 600 and sorted(found.unknown) == ["breaks", "silent"]
+    assert preflight.summarize(asyncio.run(preflight.ask_all([], ask, 0.5))).accepting == 0
 
 
 LAYERS = st.dictionaries(st.sampled_from("abcd"), st.integers(0, 2))
