--- a/covetally/fleet/serve.py
+++ b/covetally/fleet/serve.py
@@ -1,4 +1,4 @@
-"""The agent's process: `cindersail agent`."""
+"""The process of the agent, started by `cindersail agent`: assembles its parts and serves until it is stopped."""
 
 from __future__ import annotations
 
@@ -27,9 +27,9 @@
 
 log = logging.getLogger(__name__)
 
-STORE, AUDIT, LOCK = "agent.db", "audit.log", "lock"
-OPERATORS, INSTANCES = "operators.sock", "instances.sock"
-END_S = 2.0
+STORE_FILE, AUDIT_FILE, LOCK_FILE = "agent.db", "audit.log", "lock"
+OPERATORS_SOCKET, INSTANCES_SOCKET = "operators.sock", "instances.sock"
+SHUTDOWN_TIMEOUT_S = 2.0
 
 
 class StartError(ConfigurationError):
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Options:
-    """What `cindersail agent` is told. Addresses are (host, port) or None."""
+    """The options of `cindersail agent`. Addresses are (host, port) or None."""
 
     state: Path
     operators: tuple[str, int] | None = None
@@ -53,32 +53,32 @@
 
 
 def _lock(state: Path) -> int:
-    """Only one agent at a time has a folder: two would each believe that they decide."""
-    file = os.open(state / LOCK, os.O_RDWR | os.O_CREAT, 0o600)
+    """Lock the state folder, so that no two agents make decisions on the same state; returns the descriptor."""
+    descriptor = os.open(state / LOCK_FILE, os.O_RDWR | os.O_CREAT, 0o600)
     try:
-        fcntl.flock(file, fcntl.LOCK_EX | fcntl.LOCK_NB)
+        fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
     except OSError:
-        raise StartError(f"{state}: another agent runs on this folder") from None
-    return file
+        raise StartError(f"{state}: another agent is using this folder") from None
+    return descriptor
 
 
-def _raise_descriptors() -> None:
+def _raise_descriptor_limit() -> None:
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     with contextlib.suppress(ValueError, OSError):
         resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
-        log.debug("descriptors: %d, %d before", hard, soft)
+        log.debug("limit of open files: %d, previously %d", hard, soft)
 
 
 def _prepare(options: Options) -> tuple[Store, Audit, Tokens | None, list[supervisor.Program]]:
-    tcp = options.operators or options.instances
-    if tcp and options.tokens is None:
-        raise StartError("--tokens is needed where a TCP address is listened on")
+    tcp_address = options.operators or options.instances
+    if tcp_address and options.tokens is None:
+        raise StartError("--tokens is required to listen on a TCP address")
     try:
         options.state.mkdir(parents=True, exist_ok=True, mode=0o700)
         _lock(options.state)
         tokens = Tokens(options.tokens) if options.tokens is not None else None
         programs = supervisor.read(options.supervise) if options.supervise is not None else []
-        return Store(options.state / STORE), Audit(options.state / AUDIT), tokens, programs
+        return Store(options.state / STORE_FILE), Audit(options.state / AUDIT_FILE), tokens, programs
     except TokenError as error:
         raise StartError(f"{options.tokens}: {error}") from None
     except (OSError, StoreError, SuperviseError) as error:
@@ -86,15 +86,17 @@
 
 
 async def run(options: Options) -> None:
-    """Serve until SIGTERM or SIGINT; StartError if it cannot begin."""
-    _raise_descriptors()
+    """Run the agent until SIGTERM or SIGINT; raises StartError if it cannot start."""
+    _raise_descriptor_limit()
     store, audit, tokens, programs = _prepare(options)
     agent = Agent(store, audit, tokens.admits if tokens is not None else None, options.recover_s)
-    keeper = Supervisor(store, programs, lambda name, text: audit.write("agent", text, instance=name))
-    agent.instance_requests.restarter = keeper.restart
-    agent.supervised = keeper.table
+    process_supervisor = Supervisor(store, programs, lambda name, text: audit.write("agent", text, instance=name))
+    agent.instance_requests.restarter = process_supervisor.restart
+    agent.supervised = process_supervisor.table
     links = Links(agent)
-    runner = web.AppRunner(api.application(agent, audit, tokens), access_log=None, shutdown_timeout=END_S)
+    runner = web.AppRunner(
+        api.application(agent, audit, tokens), access_log=None, shutdown_timeout=SHUTDOWN_TIMEOUT_S
+    )
     await runner.setup()
     stop = asyncio.Event()
     monitor = LoopMonitor()
@@ -105,7 +107,7 @@
     try:
         agent.open()
         await _listen(options, links, runner)
-        keeper.start()
+        process_supervisor.start()
         log.info("agent ready, state in %s", options.state)
         await stop.wait()
     except OSError as error:
@@ -113,7 +115,7 @@
     finally:
         monitor.stop()
         links.close()
-        await keeper.stop(options.stop_instances)
+        await process_supervisor.stop(options.stop_instances)
         await runner.cleanup()
         agent.close()
         store.close()
@@ -121,7 +123,7 @@
 
 
 async def _listen(options: Options, links: Links, runner: web.AppRunner) -> None:
-    path = options.state / OPERATORS
+    path = options.state / OPERATORS_SOCKET
     path.unlink(missing_ok=True)
     mask = os.umask(0o177)
     try:
@@ -131,7 +133,7 @@
     if options.operators is not None:
         await web.TCPSite(runner, *options.operators).start()
         log.info("operators at %s:%d", *runner.addresses[-1][:2])
-    await links.listen_unix(options.state / INSTANCES)
+    await links.listen_unix(options.state / INSTANCES_SOCKET)
     if options.instances is not None:
         port = await links.listen_tcp(*options.instances)
         log.info("instances at %s:%d", options.instances[0], port)
