--- a/covetally/fleet/agent.py
+++ b/covetally/fleet/agent.py
@@ -564,7 +564,7 @@
         meant = self._selector(selector)
         found = self.select(selector)
         if not found:
-            raise AgentRefusedError("unknown", f"no instance is meant by {selector!r}")
+            raise AgentRefusedError("unknown", f"no instance matches {selector!r}")
         if not dry_run:
             self._not_frozen(meant, who)
         if dry_run:
--- a/covetally/fleet/serve.py
+++ b/covetally/fleet/serve.py
@@ -58,7 +58,7 @@
     try:
         fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
     except OSError:
-        raise StartError(f"{state}: another agent is using this folder") from None
+        raise StartError(f"{state}: another agent runs on this folder") from None
     return descriptor
 
 
--- a/tests/drainplan/test_processes.py
+++ b/tests/drainplan/test_processes.py
@@ -161,7 +161,7 @@
     "words, said",
     [(("plan", "--floor", "each=100%"), "below its floor"), (("plan", "--floor", "z=1"), "no zone 'z'"),
      (("start", "--floor", "each=half"), "ZONE=N"), (("halt",), "no order is under way"),
-     (("start", "-s", "name=nobody"), "no instance is meant")],
+     (("start", "-s", "name=nobody"), "no instance matches")],
 )  # fmt: skip
 def test_what_a_tired_operator_says_is_refused_in_one_line_with_what_to_do(words, said):
     async def main():
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -463,7 +463,7 @@
             stderr=asyncio.subprocess.PIPE,
         )  # fmt: skip
         _, err = await process.communicate()
-        assert process.returncode == 2 and b"another agent is using this folder" in err
+        assert process.returncode == 2 and b"another agent runs on this folder" in err
         assert len(err.splitlines()) == 1
 
     run(main)
