--- a/covetally/fleet/agent.py
+++ b/covetally/fleet/agent.py
@@ -1,8 +1,8 @@
-"""The agent: puts the store, the links and the rollouts together and carries out what they decide.
+"""The agent: connects the store, the links and the rollouts, and carries out the actions that rollouts decide on.
 
-Everything that happens is first taken in by the modules without I/O, then written to the store in one
-transaction, and only then sent. So an agent that is killed at any moment has told nobody what its store does not
-say, and after its next start asks each instance what it has.
+Each event is first processed by the modules without I/O, then the changed state is written to the store in one
+transaction, and only then messages are sent. An agent that is killed at any moment has therefore sent nothing
+that its store does not contain. After its next start it learns from each instance which configuration it has.
 """
 
 from __future__ import annotations
@@ -36,21 +36,21 @@
 
 log = logging.getLogger(__name__)
 
-KEEP_AGAIN_S = 0.5  # until what the disk did not take is written again
-BATCH_S = 0.005  # what happens within so long is written in one transaction
-RECOVER_S = 10.0  # an agent whose store is new listens so long for what instances have
-MAX_ENDED = 50  # ended rollouts that are kept in memory, for those that come back late
+SAVE_RETRY_S = 0.5  # delay before a failed write to the store is repeated
+BATCH_INTERVAL_S = 0.005  # events within this time are written in one transaction
+RECOVERY_WINDOW_S = 10.0  # an agent with a new store collects reports of instances for this time
+MAX_ENDED_ROLLOUTS = 50  # ended rollouts kept in memory for instances that reconnect late
 
 
 class Agent:
-    """One agent over one store."""
+    """The state and the decisions of one agent, based on one store."""
 
     def __init__(
         self,
         store: Store,
         audit: Audit,
         admits: Callable[[str, str], bool] | None = None,
-        recover_s: float = RECOVER_S,
+        recover_s: float = RECOVERY_WINDOW_S,
     ) -> None:
         self._store, self._audit = store, audit
         self._recover_s = recover_s
@@ -58,10 +58,8 @@
         self.instances: dict[str, Instance] = {
             name: registry.from_row(name, row) for name, row in store.instances().items()
         }
-        self._outbox: list[
-            tuple[RolloutRecord, Send | Restart]
-        ] = []  # to be carried out once the store has it all
-        self._cannot_keep = False  # the disk did not take what was last written
+        self._outbox: list[tuple[RolloutRecord, Send | Restart]] = []  # to be executed once the state is saved
+        self._save_failed = False  # the last write to the store failed
         self._flush_timer: asyncio.TimerHandle | None = None
         self._tick_timer: asyncio.TimerHandle | None = None
         self.supervised: Callable[[], list[dict[str, Any]]] = list
@@ -72,39 +70,39 @@
         self.recovered = store.get("recovered") == "yes"
         self.freezes = Freezes(store.get("freezes"))
         self.clock = SteadyClock(store.get("clock"))
-        self._keep_clock()
+        self._save_clock()
         self.orders = DesiredOrders(store)
         self.instance_requests = InstanceRequests(self.instances, self.orders, self.clock)
         self.drafts = Drafts(store, self.instances, self.instance_requests)
         self.drains = Drains(store, self.instance_requests, audit.write, self.clock)
         self._opened = False
 
-    def _keep_clock(self) -> None:
+    def _save_clock(self) -> None:
         with self._store.transaction():
             self._store.set("clock", self.clock.to_json())
 
-    # --- beginning and end ----------------------------------------------------------------------
+    # --- start and stop -------------------------------------------------------------------------
 
     def open(self) -> None:
-        """Go on from the store. Call it in the running loop, before anybody is let in."""
+        """Resume from the state in the store. Call this in the running event loop, before links are accepted."""
         now = self._now()
         if self._store.new and self._recover_s > 0:
             self._recover_until = now + self._recover_s
             asyncio.get_running_loop().call_later(self._recover_s, self._recover)
-        for row in reversed(self._store.rollouts(limit=MAX_ENDED)):
-            found = rollout.from_rows(row.number, row.head, self._store.members(row.number), now)
+        for row in reversed(self._store.rollouts(limit=MAX_ENDED_ROLLOUTS)):
+            restored = rollout.from_rows(row.number, row.head, self._store.members(row.number), now)
             queued = bool(row.head.get("queued"))
-            self._state.rollouts[row.number] = RolloutRecord(found, row, parse(row.selector), queued)
-        for running in list(self._state.rollouts.values()):
-            if running.active and not running.queued:
-                self._do(running, running.rollout.start(now))
+            self._state.rollouts[row.number] = RolloutRecord(restored, row, parse(row.selector), queued)
+        for record in list(self._state.rollouts.values()):
+            if record.active and not record.queued:
+                self._add_actions(record, record.rollout.start(now))
         self._opened = True
         self.drains.open()
         self._audit.write("agent", "start", revision=self._store.head().number)
         self._try_to_flush()
 
     def close(self) -> None:
-        """Write what is not written."""
+        """Save unsaved changes and cancel the timers."""
         self.drains.close()
         self._try_to_flush()
         for timer in (self._flush_timer, self._tick_timer, self.watchers.timer):
@@ -119,63 +117,65 @@
     def admit(self, link: Link, hello: Message) -> str | None:
         """See `links.LinkHandler`."""
         if link.tcp and (self._admits is None or not self._admits(str(hello.get("token", "")), link.name)):
-            return "its token does not let it in under this name"
+            return "its token does not permit this name"
         known = self.instances.get(link.name)
         if known is not None and known.link is not None and not known.link.closed:
             if known.boot == hello["boot"]:
-                known.link.end("the instance has dialled again")
+                known.link.end("the instance has connected again")
             else:
-                # Two that claim one name, or one whose old link is dead without a sign: the old one is asked.
-                asyncio.get_running_loop().create_task(self._contest(known, link))
+                # Either two instances claim one name, or the old link is dead without having been closed. A ping
+                # on the old link tells which.
+                asyncio.get_running_loop().create_task(self._resolve_name_conflict(known, link))
                 return None
-        self._let_in(link)
+        self._accept(link)
         return None
 
-    async def _contest(self, known: Instance, link: Link) -> None:
+    async def _resolve_name_conflict(self, known: Instance, link: Link) -> None:
+        """Accept the new link if the instance does not answer on its old link; otherwise deny the new one."""
         old = known.link
         try:
             await self.instance_requests.request(known, {"t": "ask", "what": "ping"}, PING_TIMEOUT_S)
         except AgentRefusedError:
             if old is not None:
-                old.end("silent while another came under its name")
+                old.end("did not answer while another instance claimed its name")
             if not link.closed:
-                self._let_in(link)
+                self._accept(link)
             return
         self._audit.write(link.name, "denied", why="the name is in use", pid=link.hello.get("pid"))
         link.deny(f"the name {link.name} is in use by pid {known.pid}, which answers")
 
-    def _let_in(self, link: Link) -> None:
+    def _accept(self, link: Link) -> None:
         hello = link.hello
         instance = self.instances.get(link.name)
         if instance is None:
             instance = self.instances[link.name] = Instance(link.name)
         old, instance.link = instance.link, link
         if old is not None and not old.closed:
-            old.end("another link of the same instance")
+            old.end("replaced by another link of the same instance")
         instance.labels = registry.valid_labels(hello["labels"])
         instance.boot, instance.pid, instance.version = hello["boot"], hello["pid"], hello["version"][:63]
         instance.revision, instance.values = hello["revision"], hello["values"]
         instance.keeps, instance.may_restart = bool(hello.get("keeps")), bool(hello.get("may_restart"))
         instance.left, instance.note = "", ""
         instance.history.clear()
-        instance.assigned_digest = (-1, "")  # its labels may be others
+        instance.assigned_digest = (-1, "")  # the labels may have changed
         instance.last_offered = ("", "")
         pending = str(hello.get("pending", ""))
-        beat = {"digest": hello["digest"], "pending": pending, "counts": {}, "state": _state_of(hello)}
-        instance.record_heartbeat(self._now(), self.clock.now(), beat)
+        heartbeat = {"digest": hello["digest"], "pending": pending, "counts": {}, "state": _state_in_hello(hello)}
+        instance.record_heartbeat(self._now(), self.clock.now(), heartbeat)
         self.orders.reconcile(instance.name, hello.get("orders"), self.clock.now())
         link.welcome(self.orders.desired(instance.name))
         self._state.unsaved_instances.add(instance.name)
         epoch = hello.get("epoch")
         self.drains.observe_epoch(epoch if isinstance(epoch, int) else 0)
         failed, reason = str(hello.get("failed", "")), str(hello.get("reason", ""))[:500]
-        for running in self._state.rollouts.values():
-            if instance.name in running.rollout.members and not running.queued:
-                actions = running.rollout.on_connected(
+        for record in self._state.rollouts.values():
+            if instance.name in record.rollout.members and not record.queued:
+                actions = record.rollout.on_connected(
                     self._now(), instance.name, instance.boot, instance.digest, instance.holds, failed, reason
                 )
-                self._do(running, actions)
-        self._place(instance, failed, reason)
+                self._add_actions(record, actions)
+        self._update_instance(instance, failed, reason)
         self.watchers.notify({"instance": instance.name, "connected": True})
 
     def received(self, link: Link, message: Message) -> None:
@@ -189,35 +189,33 @@
                 instance.record_heartbeat(now, self.clock.now(), message)
                 link.send({"t": "seen"})
                 self._compare_orders(instance, message)
-                for running in self._of(instance):
+                for record in self._rollouts_of(instance):
                     totals = instance.totals()
-                    self._do(
-                        running,
-                        running.rollout.on_heartbeat(
-                            now, instance.name, instance.digest, instance.holds, *totals
-                        ),
+                    self._add_actions(
+                        record,
+                        record.rollout.on_heartbeat(now, instance.name, instance.digest, instance.holds, *totals),
                     )
-                self._place(instance)
+                self._update_instance(instance)
             case "ack":
-                self._acked(instance, message)
+                self._handle_ack(instance, message)
             case "answer":
                 self.instance_requests.receive_answer(instance.name, message)
             case "bye":
                 instance.left = str(message["reason"])[:200] or "ended"
-                for running in self._of(instance):
-                    self._do(running, running.rollout.on_left(now, instance.name, instance.left))
+                for record in self._rollouts_of(instance):
+                    self._add_actions(record, record.rollout.on_left(now, instance.name, instance.left))
                 self._state.unsaved_instances.add(instance.name)
-                self._soon()
+                self._schedule_flush()
 
-    def _compare_orders(self, instance: Instance, beat: Message) -> None:
-        """Tell an instance again what is wanted of it, where its heartbeat shows that it holds something else."""
-        held = beat.get("orders")
-        if isinstance(held, int):
-            self.instance_requests.restore(instance, held)
-        elif self.orders.desired(instance.name).draining and beat["state"] == "serving":
-            self.instance_requests.restore(instance, 0)  # of a version that keeps no orders
+    def _compare_orders(self, instance: Instance, heartbeat: Message) -> None:
+        """Send an instance its desired orders again if its heartbeat shows that it has others."""
+        reported = heartbeat.get("orders")
+        if isinstance(reported, int):
+            self.instance_requests.restore(instance, reported)
+        elif self.orders.desired(instance.name).draining and heartbeat["state"] == "serving":
+            self.instance_requests.restore(instance, 0)  # a version that does not report orders
 
-    def _acked(self, instance: Instance, message: Message) -> None:
+    def _handle_ack(self, instance: Instance, message: Message) -> None:
         outcome, offered = message["outcome"], message["digest"]
         errors = [e for e in message.get("errors", []) if isinstance(e, dict)][:50]
         keys = [str(k) for k in message.get("keys", [])][:50]
@@ -233,12 +231,12 @@
         else:
             instance.note = f"revision {message['revision']} waits for a restart: {', '.join(keys)}"[:500]
         self._state.unsaved_instances.add(instance.name)
-        for running in self._of(instance):
-            actions = running.rollout.on_answer(
+        for record in self._rollouts_of(instance):
+            actions = record.rollout.on_answer(
                 self._now(), instance.name, offered, outcome, instance.digest, errors, keys, instance.keeps
             )
-            self._do(running, actions)
-        self._soon()
+            self._add_actions(record, actions)
+        self._schedule_flush()
 
     def ended(self, link: Link, reason: str) -> None:
         """See `links.LinkHandler`."""
@@ -246,30 +244,35 @@
         if instance is None or instance.link is not link:
             return
         instance.link = None
-        for running in self._of(instance):
-            self._do(running, running.rollout.on_connection_lost(self._now(), instance.name, reason))
+        for record in self._rollouts_of(instance):
+            self._add_actions(record, record.rollout.on_connection_lost(self._now(), instance.name, reason))
         self._state.unsaved_instances.add(instance.name)
-        self._soon()
+        self._schedule_flush()
         self.watchers.notify({"instance": instance.name, "connected": False, "reason": reason})
 
-    def _of(self, instance: Instance) -> list[RolloutRecord]:
-        """The rollouts that an instance is in and that may still have to know of it."""
+    def _rollouts_of(self, instance: Instance) -> list[RolloutRecord]:
+        """The rollouts in memory that have the instance as a member and are not queued."""
         return [r for r in self._state.rollouts.values() if not r.queued and instance.name in r.rollout.members]
 
-    # --- what an instance in no rollout is to have -------------------------------------------------
+    # --- instances outside of active rollouts ------------------------------------------------------
 
-    def _place(self, instance: Instance, failed: str = "", reason: str = "") -> None:
-        """Bring an instance that no rollout is at work on to what it was last told, or join it to one."""
+    def _update_instance(self, instance: Instance, failed: str = "", reason: str = "") -> None:
+        """Send an instance the settings of its assigned revision, unless an active rollout includes it.
+
+        A new instance is first added to the active rollouts whose selector matches it.
+        """
         if not self._opened or self._recovering() or not instance.connected:
             return
         if instance.assigned < 0:
             instance.assigned = self._state.default_revision
             self._state.unsaved_instances.add(instance.name)
-            for running in list(self._state.rollouts.values()):
-                r, meant = running.rollout, running.selector.matches(instance.name, instance.labels)
-                going = running.active and not running.queued and r.phase is not Phase.UNDOING
-                if going and r.kind == "change" and meant:
-                    self._do(running, r.add_member(self._now(), self._member(instance, running.row.revision, 0)))
+            for record in list(self._state.rollouts.values()):
+                r, matches = record.rollout, record.selector.matches(instance.name, instance.labels)
+                in_progress = record.active and not record.queued and r.phase is not Phase.UNDOING
+                if in_progress and r.kind == "change" and matches:
+                    self._add_actions(
+                        record, r.add_member(self._now(), self._build_member(instance, record.row.revision, 0))
+                    )
         if any(r.active and instance.name in r.rollout.members for r in self._state.rollouts.values()):
             return
         if instance.assigned_digest[0] != instance.assigned:
@@ -277,24 +280,24 @@
                 instance.assigned,
                 str(self.drafts.desired_settings(instance).get("digest", "")),
             )
-        wanted = instance.assigned_digest[1]
-        if wanted == failed:
+        desired = instance.assigned_digest[1]
+        if desired == failed:
             instance.note = f"revision {instance.assigned}: {reason}"
             self._state.unsaved_instances.add(instance.name)
-            instance.last_answered = (instance.boot, wanted)
-        if not wanted:
+            instance.last_answered = (instance.boot, desired)
+        if not desired:
             return
-        if instance.digest == wanted and not instance.holds:
+        if instance.digest == desired and not instance.holds:
             if instance.note and not failed:
                 instance.note = ""
                 self._state.unsaved_instances.add(instance.name)
-                self._soon()
+                self._schedule_flush()
             return
-        if (instance.boot, wanted) in (instance.last_offered, instance.last_answered):
-            return  # once to each link; and what this process refused, or waits with, it would refuse again
-        instance.last_offered = (instance.boot, wanted)
-        log.info("%s is brought to revision %d", instance.name, instance.assigned)
-        self._offer(instance, instance.assigned)
+        if (instance.boot, desired) in (instance.last_offered, instance.last_answered):
+            return  # sent on this link already, or refused or deferred by this process, which would do so again
+        instance.last_offered = (instance.boot, desired)
+        log.info("sending %s the settings of revision %d", instance.name, instance.assigned)
+        self._send_settings(instance, instance.assigned)
 
     # --- recovery of a lost store -----------------------------------------------------------------
 
@@ -302,26 +305,26 @@
         return self._now() < self._recover_until
 
     def _recover(self) -> None:
-        """The store was new: what instances report becomes the desired state."""
+        """Create the desired state from the reports of instances, because the store was new."""
         reports = [i for i in self.instances.values() if i.connected and i.revision > 0]
         if reports and self._store.head().number == 0:
             try:
                 self._recover_from(reports)
-            except CannotKeepError as error:  # nobody may change anything until it is kept
+            except CannotKeepError as error:  # no changes are allowed until this is saved
                 log.error("%s", error.line())
-                self._recover_until = self._now() + KEEP_AGAIN_S
-                asyncio.get_running_loop().call_later(KEEP_AGAIN_S, self._recover)
+                self._recover_until = self._now() + SAVE_RETRY_S
+                asyncio.get_running_loop().call_later(SAVE_RETRY_S, self._recover)
                 return
         self._recover_until = 0.0
         for instance in list(self.instances.values()):
-            self._place(instance)
+            self._update_instance(instance)
         self._try_to_flush()
 
     def _recover_from(self, reports: list[Instance]) -> None:
         number = max(instance.revision for instance in reports)
-        made = recovered_document(reports)
+        document = recovered_document(reports)
         text = f"recovered from what {len(reports)} instances reported"
-        revision = Revision(number, 0, time.time(), "agent", text, "", made.digest(), made)
+        revision = Revision(number, 0, time.time(), "agent", text, "", document.digest(), document)
         with self._store.transaction():
             self._store.add_revision(revision)
             self._store.set("recovered", "yes")
@@ -334,126 +337,129 @@
         log.warning("the store was lost: revision %d %s", number, text)
         self._audit.write("agent", "recover", revision=number, instances=len(reports))
 
-    # --- carrying out -----------------------------------------------------------------------------
+    # --- executing actions ------------------------------------------------------------------------
 
-    def _do(self, running: RolloutRecord, actions: list[Any]) -> None:
-        self._state.pending_actions += [(running, action) for action in actions]
-        running.undo_requested |= any(isinstance(action, UndoRequested) for action in actions)
-        if actions or running.rollout.unsaved_members:
-            self._soon()
+    def _add_actions(self, record: RolloutRecord, actions: list[Any]) -> None:
+        """Queue the actions of a rollout for the next flush."""
+        self._state.pending_actions += [(record, action) for action in actions]
+        record.undo_requested |= any(isinstance(action, UndoRequested) for action in actions)
+        if actions or record.rollout.unsaved_members:
+            self._schedule_flush()
 
-    def _soon(self) -> None:
+    def _schedule_flush(self) -> None:
         if self._flush_timer is None:
-            self._flush_timer = asyncio.get_running_loop().call_later(BATCH_S, self._try_to_flush)
+            self._flush_timer = asyncio.get_running_loop().call_later(BATCH_INTERVAL_S, self._try_to_flush)
 
     def _try_to_flush(self) -> None:
-        """As `flush`, where nobody waits for it: it is tried again until the disk takes what there is."""
+        """Flush without raising; a failed flush is repeated by a timer until it succeeds."""
         with contextlib.suppress(CannotKeepError):
             self.flush()
 
     def flush(self) -> None:
-        """Write all that has changed, then carry out what was decided.
+        """Save all changes, then execute the actions of the rollouts.
 
-        CannotKeepError where the disk does not take it: nothing is carried out, and all of it is written with the
-        next try.
+        Raises CannotKeepError if the disk refuses the write. No action is executed then, and the next flush
+        writes everything.
         """
         if self._flush_timer is not None:
             self._flush_timer.cancel()
             self._flush_timer = None
         try:
-            self._decide()
+            self._process_actions()
             with self._store.transaction():
                 self._save()
         except CannotKeepError as error:
-            if not self._cannot_keep:
+            if not self._save_failed:
                 log.error("%s", error.line())
-            self._cannot_keep = True
+            self._save_failed = True
             loop = asyncio.get_running_loop()
-            self._flush_timer = loop.call_later(KEEP_AGAIN_S, self._try_to_flush)
+            self._flush_timer = loop.call_later(SAVE_RETRY_S, self._try_to_flush)
             raise
-        if self._cannot_keep:
-            log.info("the store takes what is written again")
-        self._cannot_keep = False
+        if self._save_failed:
+            log.info("the store can be written again")
+        self._save_failed = False
         ready, self._outbox = self._outbox, []
-        for running, action in ready:
-            self._carry_out(running, action)
-        self._arm()
+        for record, action in ready:
+            self._execute(record, action)
+        self._schedule_tick()
 
-    def _decide(self) -> None:
-        """What follows from what has happened: instances to be told something, rollouts that end or begin."""
-        self._ended_ones()
+    def _process_actions(self) -> None:
+        """Finish ended rollouts, start queued ones, and move pending actions to the outbox."""
+        self._finish_ended_rollouts()
         while self._state.pending_actions:
-            running, action = self._state.pending_actions[0]
+            record, action = self._state.pending_actions[0]
             if isinstance(action, UndoRequested):
-                self._undo_by_itself(running, action.reason)  # it stays to be done where it cannot be kept
-                self._state.pending_actions.remove((running, action))
+                self._undo_automatically(record, action.reason)  # stays pending if it cannot be saved
+                self._state.pending_actions.remove((record, action))
             else:
                 self._state.pending_actions.pop(0)
-                self._outbox.append((running, action))
+                self._outbox.append((record, action))
                 if isinstance(action, Send) and action.name in self.instances:
-                    row = running.row
+                    row = record.row
                     assigned = row.undo_revision if action.undo else row.revision
                     self.instances[action.name].assigned = assigned
                     self._state.unsaved_instances.add(action.name)
             if not self._state.pending_actions:
-                self._ended_ones()
+                self._finish_ended_rollouts()
 
     def _save(self) -> None:
         self._state.save(self._now())
 
-    def _carry_out(self, running: RolloutRecord, action: Send | Restart) -> None:
+    def _execute(self, record: RolloutRecord, action: Send | Restart) -> None:
         instance = self.instances.get(action.name)
         if instance is None:
             return
         if isinstance(action, Restart):
-            asyncio.get_running_loop().create_task(self._restart(running, instance))
+            asyncio.get_running_loop().create_task(self._restart(record, instance))
             return
-        self._offer(instance, running.row.undo_revision if action.undo else running.row.revision)
+        self._send_settings(instance, record.row.undo_revision if action.undo else record.row.revision)
 
-    def _offer(self, instance: Instance, number: int) -> None:
-        """Send an instance what a revision means for it."""
+    def _send_settings(self, instance: Instance, number: int) -> None:
+        """Send an instance its settings according to a revision."""
         revision = self._store.revision(number)
         if revision is not None and instance.link is not None:
             values = revision.document.effective(instance.name, instance.labels)
             instance.link.send({"t": "apply", "revision": number, "digest": digest(values), "values": values})
 
-    async def _restart(self, running: RolloutRecord, instance: Instance) -> None:
+    async def _restart(self, record: RolloutRecord, instance: Instance) -> None:
+        """Restart an instance by the supervisor, or ask it to restart itself."""
         if self.instance_requests.restarter(instance.name):
             return
         try:
             answer = await self.instance_requests.request(instance, {"t": "do", "what": "restart"})
-            denied = str(answer.get("error", ""))
+            refusal = str(answer.get("error", ""))
         except AgentRefusedError:
-            return  # its deadline, or its next hello, will tell
-        if denied:
-            self._do(running, running.rollout.on_restart_refused(self._now(), instance.name, denied))
+            return  # its next hello or the timeout of the rollout decides
+        if refusal:
+            self._add_actions(record, record.rollout.on_restart_refused(self._now(), instance.name, refusal))
 
-    def _arm(self) -> None:
+    def _schedule_tick(self) -> None:
+        """Set the timer for the next time at which a rollout has to act."""
         if self._tick_timer is not None:
             self._tick_timer.cancel()
             self._tick_timer = None
         now = self._now()
-        dues = [
-            d
+        due_times = [
+            due
             for r in self._state.rollouts.values()
-            if not r.queued and (d := r.rollout.next_due(now)) is not None
+            if not r.queued and (due := r.rollout.next_due(now)) is not None
         ]
-        if dues:
-            self._tick_timer = asyncio.get_running_loop().call_later(max(0.01, min(dues)), self._tick)
+        if due_times:
+            self._tick_timer = asyncio.get_running_loop().call_later(max(0.01, min(due_times)), self._tick)
 
     def _tick(self) -> None:
         self._tick_timer = None
         now = self._now()
-        for running in list(self._state.rollouts.values()):
-            if running.active and not running.queued:
-                self._do(running, running.rollout.tick(now))
+        for record in list(self._state.rollouts.values()):
+            if record.active and not record.queued:
+                self._add_actions(record, record.rollout.tick(now))
         self._try_to_flush()
 
-    def _ended_ones(self) -> None:
-        """Draw the line under rollouts that have ended, and begin those that waited for them."""
-        for running in list(self._state.rollouts.values()):
-            r, row = running.rollout, running.row
-            if running.queued or not r.ended or row.ended:
+    def _finish_ended_rollouts(self) -> None:
+        """Record the result of ended rollouts, and start queued rollouts that no longer overlap others."""
+        for record in list(self._state.rollouts.values()):
+            r, row = record.rollout, record.row
+            if record.queued or not r.ended or row.ended:
                 continue
             row.ended = True
             revision = row.undo_revision if r.phase is Phase.UNDONE else row.revision
@@ -468,23 +474,23 @@
             self._audit.write(
                 "agent", "rollout ended", rollout=r.number, phase=r.phase.value, missing=missing[:1000]
             )
-        old = [n for n, r in self._state.rollouts.items() if not r.active]
-        for number in old[:-MAX_ENDED]:
+        ended = [n for n, r in self._state.rollouts.items() if not r.active]
+        for number in ended[:-MAX_ENDED_ROLLOUTS]:
             del self._state.rollouts[number]
-        for running in list(self._state.rollouts.values()):
-            if running.queued and not self._overlapping(running.selector, running.rollout.number):
-                running.queued = False
-                self._begin(running)
+        for record in list(self._state.rollouts.values()):
+            if record.queued and not self._overlapping(record.selector, record.rollout.number):
+                record.queued = False
+                self._start_rollout(record)
 
-    # --- what operators ask for --------------------------------------------------------------------
+    # --- requests of operators ---------------------------------------------------------------------
 
     def select(self, text: str) -> list[Instance]:
-        """The instances that a selector means, by name; AgentRefusedError if it is none."""
-        selector = self._selector(text)
+        """The instances that a selector matches, sorted by name; AgentRefusedError if the selector is invalid."""
+        selector = self._parse_selector(text)
         found = [i for i in self.instances.values() if selector.matches(i.name, i.labels)]
         return sorted(found, key=lambda i: i.name)
 
-    def _selector(self, text: str) -> Selector:
+    def _parse_selector(self, text: str) -> Selector:
         try:
             return parse(text)
         except ValueError as error:
@@ -495,7 +501,7 @@
         return self._store.head()
 
     def revision(self, number: int) -> Revision:
-        """One revision; AgentRefusedError if there is none."""
+        """One revision; AgentRefusedError if it does not exist."""
         found = self._store.revision(number)
         if found is None:
             raise AgentRefusedError("unknown", f"there is no revision {number}")
@@ -506,169 +512,178 @@
         return self._store.revisions()
 
     def rollouts(self) -> list[RolloutRecord]:
-        """Those in memory, the newest first."""
+        """The rollouts in memory, the newest first."""
         return sorted(self._state.rollouts.values(), key=lambda r: -r.rollout.number)
 
-    def running(self, number: int) -> RolloutRecord:
-        """One rollout, from the store if it is old; AgentRefusedError if there is none."""
+    def rollout_record(self, number: int) -> RolloutRecord:
+        """One rollout, read from the store if it is not in memory; AgentRefusedError if it does not exist."""
         if number in self._state.rollouts:
             return self._state.rollouts[number]
         row = self._store.rollout(number)
         if row is None:
             raise AgentRefusedError("unknown", f"there is no rollout {number}")
-        found = rollout.from_rows(number, row.head, self._store.members(number), self._now())
-        return RolloutRecord(found, row, parse(row.selector))
+        restored = rollout.from_rows(number, row.head, self._store.members(number), self._now())
+        return RolloutRecord(restored, row, parse(row.selector))
 
-    def tell_time(self) -> float:
-        """The clock that rollouts run by."""
+    def rollout_time(self) -> float:
+        """The current time on the clock of rollouts."""
         return self._now()
 
     def draft(
         self, who: str, parent: int, reason: str, selector: str, put: Mapping[str, Any] | None,
         set_: Mapping[str, Any], unset: list[str],
     ) -> Draft:  # fmt: skip
-        """See `Drafts.draft`; AgentRefusedError while the agent recovers, too."""
-        self._ready()
-        return self.drafts.draft(who, parent, reason, self._selector(selector), put, set_, unset)
+        """See `Drafts.draft`; also raises AgentRefusedError while the agent recovers."""
+        self._require_recovered()
+        return self.drafts.draft(who, parent, reason, self._parse_selector(selector), put, set_, unset)
 
     def change(self, draft: Draft, who: str, reason: str, plan: Plan, overlap: str) -> dict[str, Any]:
-        """Write a draft as a revision and roll it out; AgentRefusedError if somebody was first, or a rollout
-        is in its way."""
-        self._ready()
-        self._not_frozen(draft.selector, who)
-        revision, meant, changes, affected = draft.revision, draft.selector, draft.changes, draft.affected
-        if revision.parent != self._store.head().number:  # while the instances were asked
+        """Write a draft as a revision and roll it out.
+
+        Raises AgentRefusedError if another revision was created since the draft, or if a freeze or an overlapping
+        rollout blocks it.
+        """
+        self._require_recovered()
+        self._require_not_frozen(draft.selector, who)
+        revision, scope, changes, affected = draft.revision, draft.selector, draft.changes, draft.affected
+        if revision.parent != self._store.head().number:  # created while the instances were asked
             raise self.drafts.conflict(revision.parent, self._store.head())
-        blocking = self._overlapping(meant)
+        blocking = self._overlapping(scope)
         if blocking and overlap == "refuse":
-            raise self._busy(blocking)
+            raise self._busy_error(blocking)
         with self._state.transaction(*blocking):
             self._store.add_revision(revision)
             if overlap == "supersede":
                 self._supersede(blocking)
-            running = self._make("change", revision, meant, who, reason, plan, affected)
+            record = self._create_rollout("change", revision, scope, who, reason, plan, affected)
             if blocking and overlap == "queue":
-                running.queued = True
+                record.queued = True
             else:
-                self._begin(running)
-            self._save()  # with its revision, or not at all
+                self._start_rollout(record)
+            self._save()  # in the same transaction as the revision
         number = revision.number
-        done = {"revision": number, "rollout": running.rollout.number, "changes": changes, "reason": reason}
+        done = {"revision": number, "rollout": record.rollout.number, "changes": changes, "reason": reason}
         self._audit.write(who, "change", **done)
-        self._try_to_flush()  # the revision and its rollout are kept already
-        return {"revision": number, "rollout": running.as_dict(self._now()), "changes": changes}
+        self._try_to_flush()  # the revision and its rollout are saved already
+        return {"revision": number, "rollout": record.as_dict(self._now()), "changes": changes}
 
     def restart(self, who: str, reason: str, selector: str, plan: Plan, dry_run: bool) -> dict[str, Any]:
-        """Roll a restart out; AgentRefusedError if that cannot be."""
-        self._ready()
-        meant = self._selector(selector)
+        """Roll out a restart; AgentRefusedError if a freeze or an overlapping rollout blocks it."""
+        self._require_recovered()
+        scope = self._parse_selector(selector)
         found = self.select(selector)
         if not found:
             raise AgentRefusedError("unknown", f"no instance matches {selector!r}")
         if not dry_run:
-            self._not_frozen(meant, who)
+            self._require_not_frozen(scope, who)
         if dry_run:
             return {"dry_run": True, "would": [{"name": i.name, "connected": i.connected} for i in found]}
-        blocking = self._overlapping(meant)
+        blocking = self._overlapping(scope)
         if blocking:
-            raise self._busy(blocking)
+            raise self._busy_error(blocking)
         with self._state.transaction():
-            running = self._make("restart", self._store.head(), meant, who, reason, plan, found)
-            self._begin(running)
+            record = self._create_rollout("restart", self._store.head(), scope, who, reason, plan, found)
+            self._start_rollout(record)
             self._save()
-        self._audit.write(who, "restart", rollout=running.rollout.number, selector=str(meant), reason=reason)
+        self._audit.write(who, "restart", rollout=record.rollout.number, selector=str(scope), reason=reason)
         self._try_to_flush()
-        return {"rollout": running.as_dict(self._now())}
+        return {"rollout": record.as_dict(self._now())}
 
-    def start_drain(self, who: str, wanted: DrainRequest, reason: str, selector: str) -> dict[str, Any]:
-        """Begin a drain order; AgentRefusedError, or an error of `drainplan`, if that cannot be."""
-        self._ready()
-        meant = self._selector(selector)
-        self._not_frozen(meant, who)
-        if blocking := self._overlapping(meant):
-            raise self._busy(blocking)
-        return self.drains.start(wanted, who, reason)
+    def start_drain(self, who: str, request: DrainRequest, reason: str, selector: str) -> dict[str, Any]:
+        """Start a drain order; AgentRefusedError, or an error of `drainplan`, if it cannot be started."""
+        self._require_recovered()
+        scope = self._parse_selector(selector)
+        self._require_not_frozen(scope, who)
+        if blocking := self._overlapping(scope):
+            raise self._busy_error(blocking)
+        return self.drains.start(request, who, reason)
 
     def freeze(self, who: str, for_s: float, selector: str, reason: str, through: str) -> dict[str, Any]:
-        """Begin nothing planned for what is meant, for so long; durable before it is answered."""
-        self._ready()
-        self._selector(selector)
-        with self._freezes_kept():
-            made = self.freezes.add(selector, self.clock.now(), for_s, who, reason, through)
-        self._audit.write(who, "freeze", freeze=made.number, selector=made.selector, for_s=for_s, reason=reason)
+        """Freeze the instances that a selector matches for `for_s` seconds; saved before this returns."""
+        self._require_recovered()
+        self._parse_selector(selector)
+        with self._saving_freezes():
+            freeze = self.freezes.add(selector, self.clock.now(), for_s, who, reason, through)
+        self._audit.write(
+            who, "freeze", freeze=freeze.number, selector=freeze.selector, for_s=for_s, reason=reason
+        )
         return self.freezes.as_dicts(self.clock.now())[0]
 
     def thaw(self, who: str, number: int) -> dict[str, Any]:
-        """End a freeze; AgentRefusedError if it is not in force."""
-        with self._freezes_kept():
+        """Lift a freeze; AgentRefusedError if it is not in force."""
+        with self._saving_freezes():
             if self.freezes.lift(number, self.clock.now(), who) is None:
                 raise AgentRefusedError("unknown", f"no freeze {number} is in force")
         self._audit.write(who, "thaw", freeze=number)
         return next(row for row in self.freezes.as_dicts(self.clock.now()) if row["number"] == number)
 
     @contextlib.contextmanager
-    def _freezes_kept(self) -> Iterator[None]:
-        """Freezes that change in it are on disk after it; CannotKeepError, and as they were, if not."""
+    def _saving_freezes(self) -> Iterator[None]:
+        """Save the freezes at the end of the block; if that fails, restore them and raise CannotKeepError."""
         before = self.freezes.to_json()
         try:
             with self._store.transaction():
                 yield
                 self._store.set("freezes", self.freezes.to_json())
-                self._keep_clock()
+                self._save_clock()
         except CannotKeepError:
             self.freezes = Freezes(before)
             raise
 
-    def _not_frozen(self, meant: Selector, who: str) -> None:
-        freeze = self.freezes.find_blocking(meant, who, self.clock.now())
+    def _require_not_frozen(self, scope: Selector, who: str) -> None:
+        freeze = self.freezes.find_blocking(scope, who, self.clock.now())
         if freeze is not None:
             raise AgentRefusedError(
                 "busy", f"{freeze.describe(self.clock.now())}: cindersail freeze lift {freeze.number}"
             )
 
-    def steer(self, who: str, number: int, what: str, reason: str) -> dict[str, Any]:
-        """Pause, resume, abort or undo a rollout; AgentRefusedError where that means nothing."""
-        running = self.running(number)
-        r, now = running.rollout, self._now()
-        text = f"{what} by {who}" + (f": {reason}" if reason else "")
+    def steer(self, who: str, number: int, action: str, reason: str) -> dict[str, Any]:
+        """Pause, resume, abort or undo a rollout; AgentRefusedError if that does not apply to its phase."""
+        record = self.rollout_record(number)
+        r, now = record.rollout, self._now()
+        text = f"{action} by {who}" + (f": {reason}" if reason else "")
         phase = r.phase
-        if what == "undo":
-            self._undo(running, who, reason)
-        elif running.queued and what == "abort":
-            running.queued = False
-            self._do(running, r.abort(now, text))
-        elif number in self._state.rollouts and what in ("pause", "resume", "abort"):
+        if action == "undo":
+            self._undo(record, who, reason)
+        elif record.queued and action == "abort":
+            record.queued = False
+            self._add_actions(record, r.abort(now, text))
+        elif number in self._state.rollouts and action in ("pause", "resume", "abort"):
             step = {"pause": lambda: r.pause(now, text), "resume": lambda: r.resume(now),
-                    "abort": lambda: r.abort(now, text)}[what]  # fmt: skip
-            self._do(running, step())
+                    "abort": lambda: r.abort(now, text)}[action]  # fmt: skip
+            self._add_actions(record, step())
         if r.phase is phase:
-            raise AgentRefusedError("conflict", f"rollout {number} is {phase.value}: there is nothing to {what}")
-        self._audit.write(who, what, rollout=number, reason=reason)
+            raise AgentRefusedError(
+                "conflict", f"rollout {number} is {phase.value}: there is nothing to {action}"
+            )
+        self._audit.write(who, action, rollout=number, reason=reason)
         self.flush()
-        return {"rollout": running.as_dict(self._now())}
+        return {"rollout": record.as_dict(self._now())}
 
-    async def ask_all(self, selector: str, what: str) -> dict[str, Any]:
-        """Ask all that a selector means; by name what each answered, or {"error": why it did not}."""
-        return await self.instance_requests.ask_all(self.select(selector), what)
+    async def ask_all(self, selector: str, query: str) -> dict[str, Any]:
+        """Query all instances that a selector matches; returns the answers by name, or {"error": reason}."""
+        return await self.instance_requests.ask_all(self.select(selector), query)
 
     async def order(self, command: Command, selector: str) -> list[dict[str, Any]]:
-        """Drain or resume instances, or order their rosters; what each answered."""
+        """Send a command, such as drain, to the instances that a selector matches; returns the results."""
         if command.action == "drain":
-            self._not_frozen(self._selector(selector), command.who)
+            self._require_not_frozen(self._parse_selector(selector), command.who)
         found = self.select(selector)
         names = [instance.name for instance in found][:1000]
         self._audit.write(command.who, command.action, selector=selector, instances=names, reason=command.why)
         return list(await asyncio.gather(*(self.instance_requests.do(instance, command) for instance in found)))
 
     def forget(self, who: str, name: str) -> None:
-        """Know nothing more of an instance that is away; AgentRefusedError if it is not."""
+        """Delete the record of an instance; AgentRefusedError if it is unknown or connected."""
         instance = self.instances.get(name)
         if instance is None:
             raise AgentRefusedError("unknown", f"there is no instance {name}")
         if instance.connected:
-            raise AgentRefusedError("conflict", f"{name} is connected: what is there cannot be forgotten")
-        for running in self._of(instance):
-            self._do(running, running.rollout.on_left(self._now(), name, f"forgotten by {who}"))
+            raise AgentRefusedError(
+                "conflict", f"{name} is connected; only instances that are not connected can be forgotten"
+            )
+        for record in self._rollouts_of(instance):
+            self._add_actions(record, record.rollout.on_left(self._now(), name, f"forgotten by {who}"))
         with self._store.transaction():
             self._store.forget_instance(name)
             self.orders.forget(name)
@@ -676,43 +691,43 @@
         self._audit.write(who, "forget", instance=name)
         self._try_to_flush()
 
-    # --- their parts -------------------------------------------------------------------------------
+    # --- helpers -----------------------------------------------------------------------------------
 
-    def _ready(self) -> None:
+    def _require_recovered(self) -> None:
         if self._recovering():
-            left = self._recover_until - self._now()
-            text = f"the store is new; instances are heard for {left:.0f} s more"
-            raise AgentRefusedError("recovering", text, retry_s=left)
+            remaining_s = self._recover_until - self._now()
+            text = f"the store is new; collecting the reports of instances for {remaining_s:.0f} s more"
+            raise AgentRefusedError("recovering", text, retry_s=remaining_s)
 
-    def _busy(self, blocking: list[RolloutRecord]) -> AgentRefusedError:
+    def _busy_error(self, blocking: list[RolloutRecord]) -> AgentRefusedError:
         first = blocking[0]
         text = (
             f"rollout {first.rollout.number} by {first.row.author} ({first.row.selector or 'all'}) is "
-            f"{first.rollout.phase.value}; wait for it, abort it, or ask to queue or to supersede"
+            f"{first.rollout.phase.value}; wait for it, abort it, or choose to queue or to supersede"
         )
         return AgentRefusedError("busy", text, rollout=first.as_dict(self._now()))
 
-    def _overlapping(self, meant: Selector, before: int = 1 << 62) -> list[RolloutRecord]:
-        """Rollouts that have not ended and may mean the same instances, the oldest first."""
+    def _overlapping(self, scope: Selector, before: int = 1 << 62) -> list[RolloutRecord]:
+        """Active rollouts whose selectors may match the same instances, the oldest first."""
         found = [
             r for r in self._state.rollouts.values()
-            if r.active and r.rollout.number < before and r.selector.overlaps(meant)
+            if r.active and r.rollout.number < before and r.selector.overlaps(scope)
         ]  # fmt: skip
         return sorted(found, key=lambda r: r.rollout.number)
 
-    def _member(self, instance: Instance, revision: int, wave: int) -> Member:
+    def _build_member(self, instance: Instance, revision: int, wave: int) -> Member:
         target = self._store.revision(revision)
         assert target is not None
-        wanted = digest(target.document.effective(instance.name, instance.labels))
+        desired = digest(target.document.effective(instance.name, instance.labels))
         before = self.drafts.desired_settings(instance).get("digest", digest({}))
         return Member(
-            name=instance.name, target=wanted, before=before, wave=wave, has=instance.digest,
+            name=instance.name, target=desired, before=before, wave=wave, has=instance.digest,
             holds=instance.holds, connected=instance.connected, boot=instance.boot, keeps=instance.keeps,
             now=instance.totals(), base=instance.totals(), prior=instance.recent_totals(self._now()),
         )  # fmt: skip
 
-    def _make(
-        self, kind: str, revision: Revision, meant: Selector, who: str, reason: str, plan: Plan,
+    def _create_rollout(
+        self, kind: str, revision: Revision, scope: Selector, who: str, reason: str, plan: Plan,
         instances: list[Instance],
     ) -> RolloutRecord:  # fmt: skip
         number = self._store.next_rollout()
@@ -720,26 +735,26 @@
             number += 1
         by_name = {i.name: i for i in instances if not i.left or i.connected}
         members = rollout.build_members(
-            plan, by_name, lambda name, wave: self._member(by_name[name], revision.number, wave)
+            plan, by_name, lambda name, wave: self._build_member(by_name[name], revision.number, wave)
         )
-        made = Rollout(number, kind, plan, members, self._now())
-        row = RolloutRow(number, revision.number, 0, str(meant), who, reason, time.time(), {}, False)
-        self._state.rollouts[number] = running = RolloutRecord(made, row, meant)
-        return running
+        new = Rollout(number, kind, plan, members, self._now())
+        row = RolloutRow(number, revision.number, 0, str(scope), who, reason, time.time(), {}, False)
+        self._state.rollouts[number] = record = RolloutRecord(new, row, scope)
+        return record
 
-    def _begin(self, running: RolloutRecord) -> None:
+    def _start_rollout(self, record: RolloutRecord) -> None:
         now = self._now()
-        self._refresh(running)
-        for member in running.rollout.members.values():
+        self._refresh_members(record)
+        for member in record.rollout.members.values():
             instance = self.instances.get(member.name)
-            if instance is not None:  # a queued one begins later than it was made
+            if instance is not None:  # the instance may have changed while the rollout was queued
                 member.prior = instance.recent_totals(now)
                 member.before = self.drafts.desired_settings(instance).get("digest", member.before)
-        self._do(running, running.rollout.start(now))
+        self._add_actions(record, record.rollout.start(now))
 
-    def _refresh(self, running: RolloutRecord) -> None:
-        """Let a rollout that has not been listening know how its members are."""
-        for member in running.rollout.members.values():
+    def _refresh_members(self, record: RolloutRecord) -> None:
+        """Update the members of a rollout that did not receive events while it was queued or ended."""
+        for member in record.rollout.members.values():
             instance = self.instances.get(member.name)
             if instance is not None:
                 member.connected, member.boot = instance.connected, instance.boot
@@ -747,80 +762,80 @@
 
     def _supersede(self, blocking: list[RolloutRecord]) -> None:
         number = self._store.next_rollout()
-        for running in blocking:
-            running.queued = False
-            self._do(running, running.rollout.supersede(self._now(), number))
+        for record in blocking:
+            record.queued = False
+            self._add_actions(record, record.rollout.supersede(self._now(), number))
 
-    def _undo(self, running: RolloutRecord, who: str, reason: str) -> None:
-        r, row = running.rollout, running.row
+    def _undo(self, record: RolloutRecord, who: str, reason: str) -> None:
+        r, row = record.rollout, record.row
         if r.kind == "restart":
             raise AgentRefusedError("bad_input", "a restart cannot be undone")
-        if row.undo_revision or running.queued:
+        if row.undo_revision or record.queued:
             raise AgentRefusedError("conflict", f"rollout {r.number} cannot be undone: it is {r.phase.value}")
-        meant = running.selector
-        head, mine, parent = self._store.head(), self._store.revision(row.revision), None
-        if mine is not None:
-            parent = self._store.revision(mine.parent)
-        if mine is None or parent is None:
-            raise AgentRefusedError("unknown", f"what was before revision {row.revision} is not known")
-        self._may_take_back(head, mine, parent, meant)
-        others = [x for x in self._overlapping(meant) if x is not running]
+        scope = record.selector
+        head, undone, parent = self._store.head(), self._store.revision(row.revision), None
+        if undone is not None:
+            parent = self._store.revision(undone.parent)
+        if undone is None or parent is None:
+            raise AgentRefusedError("unknown", f"the revision before revision {row.revision} is not known")
+        self._require_undoable(head, undone, parent, scope)
+        others = [x for x in self._overlapping(scope) if x is not record]
         if any(not x.queued for x in others):
-            raise self._busy([x for x in others if not x.queued])
+            raise self._busy_error([x for x in others if not x.queued])
         head = self._store.head()
-        made = head.document.with_layer(
-            meant, reverted_layer(head.document, mine.document, parent.document, meant)
+        document = head.document.with_layer(
+            scope, reverted_layer(head.document, undone.document, parent.document, scope)
         )
         number = self.drafts.next_revision(head)
-        text = f"undo of revision {mine.number}" + (f": {reason}" if reason else "")
-        revision = Revision(number, head.number, time.time(), who, text, str(meant), made.digest(), made)
+        text = f"undo of revision {undone.number}" + (f": {reason}" if reason else "")
+        revision = Revision(number, head.number, time.time(), who, text, str(scope), document.digest(), document)
         previous_digests = {}
         for name in r.members:
             instance = self.instances.get(name)
             labels = instance.labels if instance is not None else {}
-            previous_digests[name] = digest(made.effective(name, labels))
-        with self._state.transaction(running, *others):
-            self._state.rollouts[r.number] = running
-            self._refresh(running)
-            for queued in others:  # they were built on what is taken back
+            previous_digests[name] = digest(document.effective(name, labels))
+        with self._state.transaction(record, *others):
+            self._state.rollouts[r.number] = record
+            self._refresh_members(record)
+            for queued in others:  # they are based on the revision that is undone
                 queued.queued = False
-                self._do(queued, queued.rollout.abort(self._now(), f"rollout {r.number} was undone"))
+                self._add_actions(queued, queued.rollout.abort(self._now(), f"rollout {r.number} was undone"))
             self._store.add_revision(revision)
             row.undo_revision, row.ended = number, False
-            self._do(running, r.undo(self._now(), text, previous_digests))
-            self._save()  # with its revision, or not at all
+            self._add_actions(record, r.undo(self._now(), text, previous_digests))
+            self._save()  # in the same transaction as the revision
 
-    def _may_take_back(self, head: Revision, mine: Revision, parent: Revision, meant: Selector) -> None:
-        """AgentRefusedError, with the command that helps, where a later revision has changed the same keys."""
-        layer, keys = mine.document.layer(meant), changed_keys(mine.document, parent.document, meant)
+    def _require_undoable(self, head: Revision, undone: Revision, parent: Revision, scope: Selector) -> None:
+        """Raise AgentRefusedError, naming the undo command to use, if a later revision changed the same keys."""
+        layer, keys = undone.document.layer(scope), changed_keys(undone.document, parent.document, scope)
 
         def differs(other: Revision) -> bool:
-            theirs = other.document.layer(meant)
-            return any(theirs.get(key) != layer.get(key) for key in keys)
+            other_layer = other.document.layer(scope)
+            return any(other_layer.get(key) != layer.get(key) for key in keys)
 
         if not differs(head):
             return
-        since = self._store.revisions(after=mine.number)
-        later = next(x for x in since if x.selector == str(meant) and differs(x))
+        since = self._store.revisions(after=undone.number)
+        later = next(x for x in since if x.selector == str(scope) and differs(x))
         row = next((r for r in self.rollouts() if r.row.revision == later.number), None)
         remedy = f": cindersail rollout undo {row.rollout.number}" if row is not None else ""
         text = f"revision {later.number} by {later.author} has changed the same settings since; undo that first"
         raise AgentRefusedError("conflict", text + remedy, revisions=[later.as_dict()])
 
-    def _undo_by_itself(self, running: RolloutRecord, reason: str) -> None:
-        running.undo_requested = False
+    def _undo_automatically(self, record: RolloutRecord, reason: str) -> None:
+        record.undo_requested = False
         try:
-            self._undo(running, "agent", reason)
-            self._audit.write("agent", "undo", rollout=running.rollout.number, reason=reason)
+            self._undo(record, "agent", reason)
+            self._audit.write("agent", "undo", rollout=record.rollout.number, reason=reason)
         except AgentRefusedError as error:
-            running.rollout.reason = f"{reason}; not undone: {error}"
+            record.rollout.reason = f"{reason}; not undone: {error}"
 
     def _rollout_table(self, number: int) -> dict[str, Any] | None:
-        running = self._state.rollouts.get(number)
-        return running.as_dict(self._now()) if running is not None else None
+        record = self._state.rollouts.get(number)
+        return record.as_dict(self._now()) if record is not None else None
 
     def status(self) -> dict[str, Any]:
-        """The agent in a few figures."""
+        """A summary of the agent as JSON data."""
         active = [r for r in self._state.rollouts.values() if r.active]
         return {
             "started": self.started, "instances": len(self.instances), "head": self._store.head().number,
@@ -830,8 +845,8 @@
         }  # fmt: skip
 
 
-def _state_of(hello: Message) -> str:
-    """The state that an instance says it is in as it comes: one that was drained before comes back drained."""
-    beat = hello.get("beat")
-    state = beat.get("state") if isinstance(beat, dict) else None
+def _state_in_hello(hello: Message) -> str:
+    """The state that an instance reports in its hello; an instance that was drained reconnects as drained."""
+    heartbeat = hello.get("beat")
+    state = heartbeat.get("state") if isinstance(heartbeat, dict) else None
     return state[:63] if isinstance(state, str) else "serving"
--- a/covetally/fleet/api.py
+++ b/covetally/fleet/api.py
@@ -255,7 +255,7 @@
         name = request.match_info["name"]
         instance = self._agent.instances.get(name)
         if instance is None:
-            raise AgentRefusedError("unknown", f"no such instance: {name}")
+            raise AgentRefusedError("unknown", f"there is no instance {name}")
         desired = {
             "wanted": self._agent.drafts.desired_settings(instance),
             "orders": self._agent.orders.as_dict(name),
@@ -322,13 +322,13 @@
 
     async def rollouts(self, request: web.Request) -> web.Response:
         """List the rollouts."""
-        now = self._agent.tell_time()
+        now = self._agent.rollout_time()
         return web.json_response({"rollouts": [r.as_dict(now) for r in self._agent.rollouts()]})
 
     async def rollout(self, request: web.Request) -> web.Response:
         """Return one rollout with its members."""
-        record = self._agent.running(_path_number(request))
-        return web.json_response(record.as_dict(self._agent.tell_time(), whole=True))
+        record = self._agent.rollout_record(_path_number(request))
+        return web.json_response(record.as_dict(self._agent.rollout_time(), whole=True))
 
     async def steer(self, request: web.Request) -> web.Response:
         """Pause, resume, abort or undo a rollout."""
--- a/tests/fleet/test_agent.py
+++ b/tests/fleet/test_agent.py
@@ -223,7 +223,7 @@
         wires["a"].silent = True
         place.change("ann", selector="zone=a", limits__max_attempts=6)
         done = place.change("bob", selector="zone=a", overlap="supersede", limits__max_attempts=7)
-        old = agent.running(done["rollout"]["number"] - 1)
+        old = agent.rollout_record(done["rollout"]["number"] - 1)
         assert old.rollout.phase.value == "superseded"
         assert old.rollout.members["ia"].state.value == "superseded"
 
@@ -246,8 +246,8 @@
             wires[1]._obey(message)  # the undo's and the new one's, late and in order
         await place.settled()
         assert all(w.values == {"limits.max_attempts": 3} for w in wires)
-        assert agent.running(1).rollout.phase.value == "superseded"
-        assert agent.running(done["rollout"]["number"]).rollout.phase.value == "done"
+        assert agent.rollout_record(1).rollout.phase.value == "superseded"
+        assert agent.rollout_record(done["rollout"]["number"]).rollout.phase.value == "done"
 
     run(main)
 
--- a/tests/fleet/test_agent_disk.py
+++ b/tests/fleet/test_agent_disk.py
@@ -78,11 +78,11 @@
         assert [applied(wire) for wire in wires] == [[1], [], []], "only saved state may be sent"
         disk.failing = ""
         await place.settled()
-        assert place.agent.running(number).rollout.phase is Phase.DONE
+        assert place.agent.rollout_record(number).rollout.phase is Phase.DONE
         assert [applied(wire) for wire in wires] == [[1], [1], [1]]
         place.agent.close()
         place.open()
-        assert {m.state.value for m in place.agent.running(number).rollout.members.values()} == {"took"}
+        assert {m.state.value for m in place.agent.rollout_record(number).rollout.members.values()} == {"took"}
         late = Wire(place.agent, "late").dial()
         await asyncio.sleep(0.05)
         assert applied(late) == [1], "the default revision is saved too"
@@ -98,7 +98,7 @@
         disk = break_disk(place.agent)
         with pytest.raises(CannotKeepError):
             place.agent.steer("ann", number, "undo", "")
-        assert place.agent.running(number).rollout.phase is Phase.DONE and place.agent.head().number == 1
+        assert place.agent.rollout_record(number).rollout.phase is Phase.DONE and place.agent.head().number == 1
         disk.failing = ""
         place.agent.steer("ann", number, "undo", "")
         await place.settled()
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -361,7 +361,7 @@
                 )
             await world.start_instances()
             await world.connected("a0")
-            while "does not let it in" not in world.instances["a1"].log:
+            while "does not permit this name" not in world.instances["a1"].log:
                 await asyncio.sleep(0.05)
             for token, method, path, code in (
                 ("", "GET", "/v1/status", client.DENIED),
