--- a/covetally/fleet/agent.py
+++ b/covetally/fleet/agent.py
@@ -311,7 +311,7 @@
             try:
                 self._recover_from(reports)
             except CannotKeepError as error:  # no changes are allowed until this is saved
-                log.error("%s", error.line())
+                log.error("%s", error.as_line())
                 self._recover_until = self._now() + SAVE_RETRY_S
                 asyncio.get_running_loop().call_later(SAVE_RETRY_S, self._recover)
                 return
@@ -370,7 +370,7 @@
                 self._save()
         except CannotKeepError as error:
             if not self._save_failed:
-                log.error("%s", error.line())
+                log.error("%s", error.as_line())
             self._save_failed = True
             loop = asyncio.get_running_loop()
             self._flush_timer = loop.call_later(SAVE_RETRY_S, self._try_to_flush)
--- a/covetally/fleet/drains.py
+++ b/covetally/fleet/drains.py
@@ -249,7 +249,7 @@
                 self._issue_permits(now, run, account)
             self._save_changes()
         except CannotKeepError as error:  # no sidecar is notified of unsaved state; the next tick saves it
-            log.warning("%s", error.line())
+            log.warning("%s", error.as_line())
             return
         self._notify_holders()
         if time.monotonic() - self._overload_polled_at >= OVERLOAD_POLL_S:
@@ -269,7 +269,7 @@
             try:
                 self.permits.give(now, account, unit, run.who, f"order {run.number}: {self.request.what}")
             except PermitError as error:
-                run.reason = error.what
+                run.reason = error.message
                 break
             run.gone(unit)
             self._boots[unit] = self._operations.instances[unit].boot
@@ -327,7 +327,7 @@
         try:
             denied = await self._operations.step(unit, self.request.what, self.permits.epoch)
         except CannotKeepError as error:
-            denied = error.line()
+            denied = error.as_line()
         if denied and self.run is not None:
             self._notified.discard(number)
             self.permits.take_back(self._clock.now(), self.account, unit, denied)
@@ -366,10 +366,10 @@
             if name not in account.units:
                 continue
             if not instance.connected:
-                account.lost(now, name, instance.left or "no link")
+                account.lost(now, name, instance.left or "not connected")
                 continue
             if self._is_unresponsive(instance):
-                account.lost(now, name, "does not answer")
+                account.lost(now, name, "unresponsive")
                 continue
             permit = self.permits.of(name)
             going = account.entry(name).state is State.GOING
--- a/covetally/fleet/instance_requests.py
+++ b/covetally/fleet/instance_requests.py
@@ -8,7 +8,7 @@
 from dataclasses import replace
 from typing import Any
 
-from covetally.control.orders import WORDS, RosterMode
+from covetally.control.orders import STATE_ORDERS, RosterMode
 from covetally.control.protocol import Message
 from covetally.fleet.orders import Command, DesiredOrders
 from covetally.fleet.errors import AgentRefusedError
@@ -69,7 +69,7 @@
         A command that changes the instance's state is stored first, so that an instance that is not connected
         receives it when it connects.
         """
-        is_state = command.action in WORDS
+        is_state = command.action in STATE_ORDERS
         try:
             error = await (self._order(instance, command) if is_state else self._send_once(instance, command))
         except AgentRefusedError as refused:
@@ -83,7 +83,7 @@
             return ""
         before = self._orders.desired(name)
         try:
-            if what in WORDS:
+            if what in STATE_ORDERS:
                 return await self._order(instance, Command(what, why="a drain order"), epoch=epoch)
             return await self._told(instance, what, epoch=epoch)
         except AgentRefusedError as error:
@@ -101,7 +101,7 @@
         """
         name, before = instance.name, self._orders.desired(instance.name)
         desired = self._orders.record(name, command, self._clock.now())
-        problem = await self._told(instance, command.action, orders=desired.table(), **more)
+        problem = await self._told(instance, command.action, orders=desired.as_dict(), **more)
         if problem:
             self._orders.revert(name, desired, before, self._clock.now())
         return problem
@@ -132,7 +132,7 @@
             desired = self._orders.desired(instance.name)
             # Versions without orders understand the action only.
             action = "drain" if desired.draining else "resume"
-            await self._told(instance, action, orders=desired.table())
+            await self._told(instance, action, orders=desired.as_dict())
         except AgentRefusedError as error:
             log.warning("cannot send %s its desired orders: %s", instance.name, error)
         finally:
--- a/covetally/fleet/links.py
+++ b/covetally/fleet/links.py
@@ -1,6 +1,6 @@
 """The connections ("links") of instances to the agent: handshake, limits and closing.
 
-Instances are not trusted. A link that has not been accepted within HELLO_S is closed, and at most
+Instances are not trusted. A link that has not been accepted within HANDSHAKE_TIMEOUT_S is closed, and at most
 MAX_PENDING_LINKS links may be waiting to be accepted. A link that sends invalid, oversized or too many messages,
 or does not read what is sent to it, is closed as well. No link can delay another.
 """
@@ -14,7 +14,7 @@
 from typing import Any, Protocol
 
 from covetally.control.orders import NO_ORDERS, Orders
-from covetally.control.protocol import HELLO_S, Decoder, Message, ProtocolError, encode, pick_version
+from covetally.control.protocol import HANDSHAKE_TIMEOUT_S, Decoder, Message, ProtocolError, encode, pick_version
 
 log = logging.getLogger(__name__)
 
@@ -61,7 +61,7 @@
         self._transport = transport
         loop = asyncio.get_running_loop()
         self._budget_updated = loop.time()
-        self._timer = loop.call_later(HELLO_S, self.end, "sent no hello in time")
+        self._timer = loop.call_later(HANDSHAKE_TIMEOUT_S, self.end, "sent no hello in time")
         self._links.link_opened(self)
 
     def data_received(self, data: bytes) -> None:
@@ -105,7 +105,7 @@
         self._links.link_accepted(self)
         if self._timer is not None:
             self._timer.cancel()
-        order_fields = {"orders": orders.table()} if orders.revision else {}
+        order_fields = {"orders": orders.as_dict()} if orders.revision else {}
         self.send({"t": "welcome", "version": self.hello["picked"]} | order_fields)
 
     def deny(self, reason: str) -> None:
--- a/tests/fleet/test_disk.py
+++ b/tests/fleet/test_disk.py
@@ -27,7 +27,7 @@
     with pytest.raises(CannotKeepError) as caught, store.transaction():
         store.set("half", "1")
         store.set("large", "x" * 1_000_000)
-    assert "Make room on the disk" in caught.value.line()
+    assert "Make room on the disk" in caught.value.as_line()
     limit_growth(store, 1_000)
     with store.transaction():
         store.set("after", "kept")
--- a/tests/fleet/test_orders.py
+++ b/tests/fleet/test_orders.py
@@ -7,7 +7,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from covetally.control.orders import NO_ORDERS, Orders, RosterMode, from_table
+from covetally.control.orders import NO_ORDERS, Orders, RosterMode, from_dict
 from covetally.fleet.orders import Command, DesiredOrders
 from covetally.fleet.store import CannotKeepError, Store
 
@@ -54,10 +54,10 @@
 
 def test_after_the_loss_of_the_store_orders_are_adopted_from_reports(store):
     orders = DesiredOrders(store)
-    orders.reconcile("a0", Orders(9, True, None, RosterMode.HOLD).table(), AT)
+    orders.reconcile("a0", Orders(9, True, None, RosterMode.HOLD).as_dict(), AT)
     assert orders.desired("a0") == Orders(9, True, None, RosterMode.HOLD)
     assert orders.record("a1", Command("drain", "anna"), AT).revision == 10
-    orders.reconcile("a0", Orders(4).table(), AT)  # a late report does not change the desired state
+    orders.reconcile("a0", Orders(4).as_dict(), AT)  # a late report does not change the desired state
     assert orders.desired("a0").draining
     orders.reconcile("a0", None, AT)  # from a version without orders
     orders.reconcile("a0", {"revision": "x"}, AT)
@@ -65,12 +65,12 @@
 
 
 @given(st.lists(st.sampled_from(["drain", "resume", "hold", "auto"]), max_size=12), st.randoms())
-def test_keeping_the_highest_revision_ends_in_the_last_state_for_any_message_order(words, random):
+def test_keeping_the_highest_revision_ends_in_the_last_state_for_any_message_order(actions, random):
     states, state = [], NO_ORDERS
-    for revision, word in enumerate(words, 1):
-        state = state.ordered(word, revision)
+    for revision, action in enumerate(actions, 1):
+        state = state.with_order(action, revision)
         states.append(state)
-    received = [from_table(each.table()) for each in states * 2]  # each twice, in any order
+    received = [from_dict(each.as_dict()) for each in states * 2]  # each twice, in any order
     random.shuffle(received)
     held = NO_ORDERS
     for each in received:
@@ -84,11 +84,11 @@
         None,
         {},
         {"revision": -1},
-        Orders().table() | {"roster": "x"},
-        Orders().table() | {"within_s": "1"},
-        Orders().table() | {"draining": 1},
+        Orders().as_dict() | {"roster": "x"},
+        Orders().as_dict() | {"within_s": "1"},
+        Orders().as_dict() | {"draining": 1},
     ],
 )
 def test_an_invalid_table_is_rejected(table):
     with pytest.raises(ValueError):
-        from_table(table)
+        from_dict(table)
