--- a/covetally/fleet/api.py
+++ b/covetally/fleet/api.py
@@ -317,9 +317,9 @@
         if dry_run or not anyway:
             result = await self._agent.drafts.preflight(draft)
             if dry_run:
-                return web.json_response(self._agent.drafts.preview(draft) | {"asked": result.table()})
+                return web.json_response(self._agent.drafts.preview(draft) | {"asked": result.as_dict()})
             if result.refused:
-                raise AgentRefusedError("refused", result.text(), asked=result.table())
+                raise AgentRefusedError("refused", result.text(), asked=result.as_dict())
         return web.json_response(self._agent.change(draft, who, reason, plan, overlap))
 
     async def rollouts(self, request: web.Request) -> web.Response:
--- a/covetally/fleet/preflight.py
+++ b/covetally/fleet/preflight.py
@@ -40,7 +40,7 @@
         more = f" and {len(names) - MAX_LISTED_REFUSALS} more" if len(names) > MAX_LISTED_REFUSALS else ""
         return f"{len(names)} would refuse it ({'; '.join(parts)}{more}); nothing was changed"
 
-    def table(self) -> dict[str, Any]:
+    def as_dict(self) -> dict[str, Any]:
         """The result as JSON data for the API."""
         return {
             "would": self.accepting,
--- a/covetally/fleet/serve.py
+++ b/covetally/fleet/serve.py
@@ -92,7 +92,7 @@
     agent = Agent(store, audit, tokens.admits if tokens is not None else None, options.recover_s)
     process_supervisor = Supervisor(store, programs, lambda name, text: audit.write("agent", text, instance=name))
     agent.instance_requests.restarter = process_supervisor.restart
-    agent.supervised = process_supervisor.table
+    agent.supervised = process_supervisor.as_dict
     links = Links(agent)
     runner = web.AppRunner(
         api.application(agent, audit, tokens), access_log=None, shutdown_timeout=SHUTDOWN_TIMEOUT_S
--- a/covetally/fleet/supervisor.py
+++ b/covetally/fleet/supervisor.py
@@ -138,7 +138,7 @@
             supervised.kill_at = time.monotonic() + supervised.program.stop_s
         return True
 
-    def table(self) -> list[dict[str, Any]]:
+    def as_dict(self) -> list[dict[str, Any]]:
         """The state, pid, consecutive crashes at startup and last exit of each process, as JSON data."""
         return [
             {
