--- a/tests/fleet/test_agent.py
+++ b/tests/fleet/test_agent.py
@@ -1,4 +1,4 @@
-"""The agent's decisions over links that are made here: two operators, overlaps, convergence, a lost store."""
+"""The agent's decisions, over simulated links: concurrent operators, overlaps, convergence and a lost store."""
 
 from __future__ import annotations
 
@@ -26,8 +26,8 @@
 _boots = itertools.count()
 
 
-class Wire:
-    """A link and the instance at its other end, which obeys at once unless it is told otherwise."""
+class FakeInstance:
+    """A link and the instance at its other end, which applies and answers every message at once by default."""
 
     def __init__(
         self, agent: Agent, name: str, revision: int = 0, values=None, zone: str = "a", boot: str = ""
@@ -42,7 +42,7 @@
             "keeps": True, "may_restart": True, "token": "",
         }  # fmt: skip
 
-    def dial(self) -> Wire:
+    def connect(self) -> FakeInstance:
         self.denied = self.agent.admit(self, self.hello)
         return self
 
@@ -60,10 +60,10 @@
     def send(self, message) -> bool:
         self.sent.append(message)
         if not self.silent:
-            asyncio.get_running_loop().call_soon(self._obey, message)
+            asyncio.get_running_loop().call_soon(self._apply_and_answer, message)
         return True
 
-    def _obey(self, message) -> None:
+    def _apply_and_answer(self, message) -> None:
         if self.closed:
             return
         if message["t"] == "apply":
@@ -78,14 +78,14 @@
         elif message["t"] in ("ask", "do"):
             self.agent.received(self, {"t": "answer", "id": message["id"], "error": "", "state": "serving"})
 
-    def beat(self) -> None:
+    def send_heartbeat(self) -> None:
         self.agent.received(self, {
             "t": "beat", "digest": digest(self.values), "pending": "", "counts": {}, "state": "serving",
         })  # fmt: skip
 
 
-class Place:
-    """An agent in a folder that can be killed (its memory dropped) and started again."""
+class AgentHarness:
+    """An agent with its store in a folder; `open` starts it again from the store."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
@@ -103,7 +103,7 @@
         draft = self.agent.draft(who, parent, "", selector, None, values, [])
         return self.agent.drafts.preview(draft) if dry else self.agent.change(draft, who, "", plan, overlap)
 
-    async def settled(self) -> None:
+    async def wait_until_settled(self) -> None:
         while any(r.active for r in self.agent.rollouts()):
             await asyncio.sleep(0.002)
 
@@ -111,27 +111,27 @@
 def run(main, **more) -> None:
     async def timed(folder: Path):
         async with asyncio.timeout(15):
-            place = Place.__new__(Place)
-            place.__dict__.update(more)
-            place.__init__(folder)
-            await main(place)
+            harness = AgentHarness.__new__(AgentHarness)
+            harness.__dict__.update(more)
+            harness.__init__(folder)
+            await main(harness)
 
     with tempfile.TemporaryDirectory() as folder:
         asyncio.run(timed(Path(folder)))
 
 
-def test_the_second_of_two_operators_is_told_of_the_first():
-    async def main(place):
-        wire = Wire(place.agent, "i0").dial()
-        place.change("ann", limits__max_attempts=2)
-        await place.settled()
+def test_a_change_based_on_an_older_revision_is_refused_and_names_the_newer_change():
+    async def main(harness):
+        fake = FakeInstance(harness.agent, "i0").connect()
+        harness.change("ann", limits__max_attempts=2)
+        await harness.wait_until_settled()
         with pytest.raises(AgentRefusedError) as caught:
-            place.change("bob", parent=0, limits__max_attempts=3)
+            harness.change("bob", parent=0, limits__max_attempts=3)
         error = caught.value
         assert error.code == "conflict" and "revision 1 by ann" in str(error)
         assert error.data["changes"] == [{"selector": "", "key": "limits.max_attempts", "old": None, "new": 2}]
         assert error.data["revisions"][0]["author"] == "ann"
-        assert wire.values == {"limits.max_attempts": 2}, "nothing of the second was merged"
+        assert fake.values == {"limits.max_attempts": 2}, "the second change is not merged"
 
     run(main)
 
@@ -149,13 +149,14 @@
         max_size=25,
     )
 )
-def test_two_operators_in_any_order_lose_no_change_and_merge_none(steps):
-    """Each works on the head that it looked at last. A change goes in only on the head, and every revision is
-    the one before with one layer replaced; in the end every instance has what the head says or is named."""
-
-    async def main(place):
-        agent = place.agent
-        wires = [Wire(agent, f"i{i}", zone="ab"[i % 2]).dial() for i in range(4)]
+def test_changes_of_two_operators_in_any_order_are_neither_lost_nor_merged(steps):
+    """Each operator bases changes on the head that it read last. A change is accepted only on the current head,
+    and every revision replaces one layer of the one before. In the end every instance has its desired settings or
+    is listed as missing."""
+
+    async def main(harness):
+        agent = harness.agent
+        fakes = [FakeInstance(agent, f"i{i}", zone="ab"[i % 2]).connect() for i in range(4)]
         seen = {"ann": 0, "bob": 0}
         for who, what, selector, value, overlap in steps:
             head = agent.head().number
@@ -163,25 +164,25 @@
                 if what == "look":
                     seen[who] = head
                 elif what == "set":
-                    place.change(who, seen[who], selector, overlap, limits__max_attempts=value)
-                    assert seen[who] == head, "a change on what was not the head went in"
+                    harness.change(who, seen[who], selector, overlap, limits__max_attempts=value)
+                    assert seen[who] == head, "a change that was not based on the head was accepted"
                     assert agent.head().parent == head and agent.head().author == who
                 elif what in ("undo", "abort"):
                     agent.steer(who, max((r.rollout.number for r in agent.rollouts()), default=1), what, "")
                 elif what == "wait":
-                    await place.settled()
+                    await harness.wait_until_settled()
                 elif what == "cut":
-                    wire = wires[value % 4]
-                    wire.end("cut")
-                    wires[value % 4] = Wire(
-                        agent, wire.name, wire.revision, wire.values, wire.zone, wire.boot
-                    ).dial()
+                    fake = fakes[value % 4]
+                    fake.end("cut")
+                    fakes[value % 4] = FakeInstance(
+                        agent, fake.name, fake.revision, fake.values, fake.zone, fake.boot
+                    ).connect()
             except AgentRefusedError as error:
                 assert error.code in ("conflict", "busy", "bad_input", "unknown")
                 if error.code == "conflict" and what == "set":
                     assert seen[who] != head
         for _ in range(20):
-            await place.settled()
+            await harness.wait_until_settled()
             await asyncio.sleep(0)
         revisions = agent.revisions()
         for revision in revisions:
@@ -191,38 +192,38 @@
             changed = [s for s in layers if before.layer(parse(s)) != after.layer(parse(s))]
             assert changed in ([], [revision.selector]), "more than one layer changed in one revision"
         assert not any(r.active for r in agent.rollouts())
-        for wire in wires:
-            instance = agent.instances[wire.name]
-            assert digest(wire.values) == instance.digest
+        for fake in fakes:
+            instance = agent.instances[fake.name]
+            assert digest(fake.values) == instance.digest
             wanted = agent.drafts.desired_settings(instance)["digest"]
             named = {m.name for r in agent.rollouts() for m in r.rollout.missing()}
-            assert instance.digest == wanted or wire.name in named
+            assert instance.digest == wanted or fake.name in named
 
     run(main)
 
 
-def test_overlapping_rollouts_are_refused_queued_or_superseded_and_disjoint_ones_run_beside():
-    async def main(place):
-        agent = place.agent
-        wires = {z: Wire(agent, f"i{z}", zone=z).dial() for z in "ab"}
-        wires["a"].silent = True
-        place.change("ann", selector="zone=a", limits__max_attempts=2)
+def test_overlapping_rollouts_are_refused_queued_or_superseded_and_disjoint_ones_run_in_parallel():
+    async def main(harness):
+        agent = harness.agent
+        fakes = {z: FakeInstance(agent, f"i{z}", zone=z).connect() for z in "ab"}
+        fakes["a"].silent = True
+        harness.change("ann", selector="zone=a", limits__max_attempts=2)
         with pytest.raises(AgentRefusedError, match="rollout 1 by ann .zone=a. is running"):
-            place.change("bob", limits__max_attempts=3)
+            harness.change("bob", limits__max_attempts=3)
         assert agent.head().number == 1, "a refused change leaves no revision"
-        place.change("bob", selector="zone=b", limits__max_attempts=4)
+        harness.change("bob", selector="zone=b", limits__max_attempts=4)
         await asyncio.sleep(0.05)
-        assert wires["b"].values == {"limits.max_attempts": 4}
-        place.change("bob", selector="zone=a", overlap="queue", limits__max_attempts=5)
+        assert fakes["b"].values == {"limits.max_attempts": 4}
+        harness.change("bob", selector="zone=a", overlap="queue", limits__max_attempts=5)
         assert [r.queued for r in agent.rollouts()] == [True, False, False]
-        assert [m["values"] for m in wires["a"].sent if m["t"] == "apply"] == [{"limits.max_attempts": 2}]
-        wires["a"].silent = False
-        wires["a"]._obey(wires["a"].sent[-1])
-        await place.settled()
-        assert wires["a"].values == {"limits.max_attempts": 5}, "the queued one followed"
-        wires["a"].silent = True
-        place.change("ann", selector="zone=a", limits__max_attempts=6)
-        done = place.change("bob", selector="zone=a", overlap="supersede", limits__max_attempts=7)
+        assert [m["values"] for m in fakes["a"].sent if m["t"] == "apply"] == [{"limits.max_attempts": 2}]
+        fakes["a"].silent = False
+        fakes["a"]._apply_and_answer(fakes["a"].sent[-1])
+        await harness.wait_until_settled()
+        assert fakes["a"].values == {"limits.max_attempts": 5}, "the queued rollout runs next"
+        fakes["a"].silent = True
+        harness.change("ann", selector="zone=a", limits__max_attempts=6)
+        done = harness.change("bob", selector="zone=a", overlap="supersede", limits__max_attempts=7)
         old = agent.rollout_record(done["rollout"]["number"] - 1)
         assert old.rollout.phase.value == "superseded"
         assert old.rollout.members["ia"].state.value == "superseded"
@@ -230,103 +231,108 @@
     run(main)
 
 
-def test_a_revision_that_was_taken_back_and_is_overtaken_by_a_new_one_ends_with_the_new_one():
-    async def main(place):
-        agent = place.agent
-        wires = [Wire(agent, f"i{i}").dial() for i in range(3)]
-        place.change("ann", limits__max_attempts=2)
-        await place.settled()
-        wires[1].silent = True
+def test_an_undo_that_is_superseded_ends_with_the_new_revision_everywhere():
+    async def main(harness):
+        agent = harness.agent
+        fakes = [FakeInstance(agent, f"i{i}").connect() for i in range(3)]
+        harness.change("ann", limits__max_attempts=2)
+        await harness.wait_until_settled()
+        fakes[1].silent = True
         agent.steer("ann", 1, "undo", "bad")
         await asyncio.sleep(0.05)
-        assert wires[0].values == {} and wires[1].values == {"limits.max_attempts": 2}
-        done = place.change("bob", overlap="supersede", limits__max_attempts=3)
-        wires[1].silent = False
-        for message in [m for m in wires[1].sent if m["t"] == "apply"][-2:]:
-            wires[1]._obey(message)  # the undo's and the new one's, late and in order
-        await place.settled()
-        assert all(w.values == {"limits.max_attempts": 3} for w in wires)
+        assert fakes[0].values == {} and fakes[1].values == {"limits.max_attempts": 2}
+        done = harness.change("bob", overlap="supersede", limits__max_attempts=3)
+        fakes[1].silent = False
+        for message in [m for m in fakes[1].sent if m["t"] == "apply"][-2:]:
+            # The messages of the undo and of the new revision arrive late but in order.
+            fakes[1]._apply_and_answer(message)
+        await harness.wait_until_settled()
+        assert all(w.values == {"limits.max_attempts": 3} for w in fakes)
         assert agent.rollout_record(1).rollout.phase.value == "superseded"
         assert agent.rollout_record(done["rollout"]["number"]).rollout.phase.value == "done"
 
     run(main)
 
 
-def test_undo_goes_back_by_a_revision_of_its_own_and_not_over_a_later_change():
-    async def main(place):
-        agent = place.agent
-        wire = Wire(agent, "i0").dial()
-        place.change("ann", limits__max_attempts=2)
-        await place.settled()
-        place.change("bob", selector="zone=a", log__level="debug")
-        await place.settled()
+def test_undo_creates_a_revision_and_does_not_overwrite_a_later_change():
+    async def main(harness):
+        agent = harness.agent
+        fake = FakeInstance(agent, "i0").connect()
+        harness.change("ann", limits__max_attempts=2)
+        await harness.wait_until_settled()
+        harness.change("bob", selector="zone=a", log__level="debug")
+        await harness.wait_until_settled()
         agent.steer("ann", 1, "undo", "")
-        await place.settled()
-        assert wire.values == {"log.level": "debug"}, "the other layer stays"
+        await harness.wait_until_settled()
+        assert fake.values == {"log.level": "debug"}, "the other layer is unchanged"
         assert agent.head().number == 3 and "undo of revision 1" in agent.head().reason
-        place.change("ann", selector="zone=a", log__level="error")
-        await place.settled()
+        harness.change("ann", selector="zone=a", log__level="error")
+        await harness.wait_until_settled()
         with pytest.raises(AgentRefusedError, match="revision 4 by ann has changed the same settings since"):
             agent.steer("bob", 2, "undo", "")
 
     run(main)
 
 
-def test_trouble_undoes_by_itself_where_the_plan_says_so():
-    async def main(place):
-        agent = place.agent
-        wires = [Wire(agent, f"i{i}").dial() for i in range(3)]
-        wires[1].refuses = True
+def test_a_failing_rollout_is_undone_automatically_if_its_plan_says_so():
+    async def main(harness):
+        agent = harness.agent
+        fakes = [FakeInstance(agent, f"i{i}").connect() for i in range(3)]
+        fakes[1].refuses = True
         plan = Plan(canary=0, shares=(1.0,), soak_s=0, max_out=1, max_refused=0, on_trouble="undo")
-        place.change("ann", plan=plan, limits__max_attempts=2)
-        await place.settled()
-        assert wires[2].values == {"limits.max_attempts": 2}, "0: any number may refuse"
+        harness.change("ann", plan=plan, limits__max_attempts=2)
+        await harness.wait_until_settled()
+        assert fakes[2].values == {"limits.max_attempts": 2}, (
+            "max_refused = 0: any number of instances may refuse"
+        )
         plan = Plan(canary=0, shares=(1.0,), soak_s=0, max_out=1, max_refused=1, on_trouble="undo")
-        wires[2].refuses = True
-        place.change("ann", plan=plan, limits__max_attempts=3)
-        await place.settled()
+        fakes[2].refuses = True
+        harness.change("ann", plan=plan, limits__max_attempts=3)
+        await harness.wait_until_settled()
         assert agent.rollouts()[0].rollout.phase.value == "undone"
-        assert agent.head().author == "agent" and wires[0].values == {"limits.max_attempts": 2}
+        assert agent.head().author == "agent" and fakes[0].values == {"limits.max_attempts": 2}
 
     run(main)
 
 
-def test_who_comes_late_or_new_is_brought_to_what_it_is_to_have_and_asked_once():
-    async def main(place):
-        agent = place.agent
-        away = Wire(agent, "i0").dial()
+def test_late_and_new_instances_get_their_settings_and_are_asked_only_once():
+    async def main(harness):
+        agent = harness.agent
+        away = FakeInstance(agent, "i0").connect()
         away.end("cut")
-        place.change("ann", plan=Plan(canary=0, shares=(1.0,), soak_s=0, instance_s=0.05), limits__max_attempts=2)
-        await place.settled()
-        running = agent.rollouts()[0]
-        assert running.rollout.phase.value == "incomplete"
-        assert [m.name for m in running.rollout.missing()] == ["i0"]
-        back = Wire(agent, "i0").dial()
+        harness.change(
+            "ann", plan=Plan(canary=0, shares=(1.0,), soak_s=0, instance_s=0.05), limits__max_attempts=2
+        )
+        await harness.wait_until_settled()
+        record = agent.rollouts()[0]
+        assert record.rollout.phase.value == "incomplete"
+        assert [m.name for m in record.rollout.missing()] == ["i0"]
+        back = FakeInstance(agent, "i0").connect()
         await asyncio.sleep(0.05)
         assert back.values == {"limits.max_attempts": 2}
-        assert running.rollout.phase.value == "done"
-        new = Wire(agent, "i9").dial()
+        assert record.rollout.phase.value == "done"
+        new = FakeInstance(agent, "i9").connect()
         await asyncio.sleep(0.05)
         assert new.values == {"limits.max_attempts": 2}
-        stubborn = Wire(agent, "i8")
+        stubborn = FakeInstance(agent, "i8")
         stubborn.refuses = True
-        stubborn.dial()
+        stubborn.connect()
         for _ in range(5):
             await asyncio.sleep(0.01)
-            stubborn.beat()
+            stubborn.send_heartbeat()
         assert len([m for m in stubborn.sent if m["t"] == "apply"]) == 1
         assert "refused revision 1: k: no" in agent.instances["i8"].note
 
     run(main)
 
 
-def test_one_that_comes_new_while_a_rollout_runs_joins_it():
-    async def main(place):
-        agent = place.agent
-        slow = Wire(agent, "i0").dial()
+def test_a_new_instance_joins_a_rollout_in_progress():
+    async def main(harness):
+        agent = harness.agent
+        slow = FakeInstance(agent, "i0").connect()
         slow.silent = True
-        place.change("ann", limits__max_attempts=2)
-        new = Wire(agent, "i1").dial()
+        harness.change("ann", limits__max_attempts=2)
+        new = FakeInstance(agent, "i1").connect()
         await asyncio.sleep(0.05)
         assert agent.rollouts()[0].rollout.members["i1"].state.value == "took"
         assert new.values == {"limits.max_attempts": 2}
@@ -334,78 +340,80 @@
     run(main)
 
 
-def test_a_second_that_claims_a_name_is_denied_while_the_first_answers_and_let_in_when_it_does_not():
-    async def main(place):
-        agent = place.agent
-        first = Wire(agent, "i0").dial()
-        second = Wire(agent, "i0").dial()
+def test_a_second_instance_with_the_same_name_is_accepted_only_if_the_first_does_not_answer():
+    async def main(harness):
+        agent = harness.agent
+        first = FakeInstance(agent, "i0").connect()
+        second = FakeInstance(agent, "i0").connect()
         await asyncio.sleep(0.05)
         assert "in use by pid 1" in second.denied and agent.instances["i0"].link is first
         first.silent = True
-        third = Wire(agent, "i0").dial()
+        third = FakeInstance(agent, "i0").connect()
         while agent.instances["i0"].link is not third:
             await asyncio.sleep(0.05)
         assert first.closed
-        again = Wire(agent, "i0", boot=third.boot).dial()
-        assert third.closed and agent.instances["i0"].link is again, "the same process has dialled again"
+        again = FakeInstance(agent, "i0", boot=third.boot).connect()
+        assert third.closed and agent.instances["i0"].link is again, "the same process has connected again"
 
     run(main)
 
 
-def test_a_lost_store_is_made_again_from_what_instances_report():
-    async def main(place):
-        agent = place.agent
+def test_a_lost_store_is_recovered_from_the_reports_of_instances():
+    async def main(harness):
+        agent = harness.agent
         common, own = {"limits.max_attempts": 3}, {"limits.max_attempts": 3, "log.level": "debug"}
-        wires = [Wire(agent, f"i{i}", 41, common).dial() for i in range(3)]
-        wires.append(Wire(agent, "odd", 40, own).dial())
-        wires.append(Wire(agent, "fresh").dial())
+        fakes = [FakeInstance(agent, f"i{i}", 41, common).connect() for i in range(3)]
+        fakes.append(FakeInstance(agent, "odd", 40, own).connect())
+        fakes.append(FakeInstance(agent, "fresh").connect())
         with pytest.raises(AgentRefusedError) as caught:
-            place.change(log__level="error")
+            harness.change(log__level="error")
         assert caught.value.code == "recovering"
         while agent.status()["recovering"]:
             await asyncio.sleep(0.02)
         await asyncio.sleep(0.05)
         assert agent.head().number == 41 and agent.head().author == "agent" and agent.recovered
         assert "4 instances reported" in agent.head().reason
-        assert [w.values for w in wires[:4]] == [common] * 3 + [own], "nobody lost what it had"
-        assert not any(m["t"] == "apply" for w in wires[:4] for m in w.sent)
-        assert wires[4].values == common, "who had nothing gets what most have"
-        place.change("ann", limits__max_attempts=2)
-        await place.settled()
-        assert wires[3].values == {"limits.max_attempts": 3, "log.level": "debug"}, "its own layer still wins"
-        assert wires[0].values == {"limits.max_attempts": 2}
+        assert [w.values for w in fakes[:4]] == [common] * 3 + [own], "every instance keeps its settings"
+        assert not any(m["t"] == "apply" for w in fakes[:4] for m in w.sent)
+        assert fakes[4].values == common, "an instance without settings gets the most common ones"
+        harness.change("ann", limits__max_attempts=2)
+        await harness.wait_until_settled()
+        assert fakes[3].values == {"limits.max_attempts": 3, "log.level": "debug"}, (
+            "its own layer still has precedence"
+        )
+        assert fakes[0].values == {"limits.max_attempts": 2}
 
     run(main, recover_s=0.3)
 
 
-def test_a_store_put_back_from_a_copy_counts_on_above_what_instances_have():
-    async def main(place):
-        wire = Wire(place.agent, "i0", 17, {"log.level": "debug"}).dial()
-        done = place.change("ann", limits__max_attempts=2)
+def test_a_store_restored_from_an_older_copy_continues_above_the_revisions_of_instances():
+    async def main(harness):
+        fake = FakeInstance(harness.agent, "i0", 17, {"log.level": "debug"}).connect()
+        done = harness.change("ann", limits__max_attempts=2)
         assert done["revision"] == 18
-        await place.settled()
-        assert wire.values == {"limits.max_attempts": 2}
+        await harness.wait_until_settled()
+        assert fake.values == {"limits.max_attempts": 2}
 
     run(main)
 
 
-def test_a_dry_run_says_who_would_change_and_changes_nothing():
-    async def main(place):
-        wire = Wire(place.agent, "i0").dial()
-        Wire(place.agent, "i1", zone="b").dial().end("cut")
-        done = place.change(dry=True, process__backlog=64, log__level="debug")
+def test_a_dry_run_lists_the_effects_and_changes_nothing():
+    async def main(harness):
+        fake = FakeInstance(harness.agent, "i0").connect()
+        FakeInstance(harness.agent, "i1", zone="b").connect().end("cut")
+        done = harness.change(dry=True, process__backlog=64, log__level="debug")
         what = {"keys": ["log.level", "process.backlog"], "restart": ["process.backlog"]}
         assert done["would"] == [
             {"name": "i0", "connected": True} | what,
             {"name": "i1", "connected": False} | what,
         ]
-        assert place.agent.head().number == 0 and not place.agent.rollouts() and not wire.sent
+        assert harness.agent.head().number == 0 and not harness.agent.rollouts() and not fake.sent
 
     run(main)
 
 
 @pytest.mark.parametrize(
-    "more, said",
+    "more, message",
     [
         ({"nothing__known": 1}, "no such key"),
         ({"control__name": "x"}, "cannot be set by an agent"),
@@ -413,43 +421,45 @@
         ({}, "changes nothing"),
     ],
 )
-def test_what_cannot_be_is_refused_before_anything_is_written(more, said):
-    async def main(place):
-        with pytest.raises(AgentRefusedError, match=said) as caught:
-            place.change(**more)
-        assert caught.value.code == "bad_input" and place.agent.head().number == 0
+def test_an_invalid_change_is_refused_before_anything_is_written(more, message):
+    async def main(harness):
+        with pytest.raises(AgentRefusedError, match=message) as caught:
+            harness.change(**more)
+        assert caught.value.code == "bad_input" and harness.agent.head().number == 0
 
     run(main)
 
 
-def test_a_wall_clock_that_jumps_moves_no_deadline(monkeypatch):
-    """A day ahead, a day back, while a rollout waits for one that is silent: its deadline is its own."""
+def test_a_jump_of_the_wall_clock_changes_no_deadline(monkeypatch):
+    """The clock jumps a day forwards and a day back while a rollout waits for a silent instance."""
 
-    async def main(place):
-        agent, plain = place.agent, time.time
-        good, slow = Wire(agent, "i0").dial(), Wire(agent, "i1").dial()
+    async def main(harness):
+        agent, plain = harness.agent, time.time
+        good, slow = FakeInstance(agent, "i0").connect(), FakeInstance(agent, "i1").connect()
         slow.silent = True
-        place.change("ann", plan=Plan(canary=0, shares=(1.0,), soak_s=0, instance_s=3.0), limits__max_attempts=2)
+        harness.change(
+            "ann", plan=Plan(canary=0, shares=(1.0,), soak_s=0, instance_s=3.0), limits__max_attempts=2
+        )
         for jump in (86_400, -86_400):
             monkeypatch.setattr(time, "time", lambda jump=jump: plain() + jump)
             await asyncio.sleep(0.05)
-            good.beat()
-            slow.beat()
+            good.send_heartbeat()
+            slow.send_heartbeat()
             assert agent.rollouts()[0].rollout.members["i1"].state.value == "sent"
-        await place.settled()
+        await harness.wait_until_settled()
         assert [m.name for m in agent.rollouts()[0].rollout.missing()] == ["i1"]
 
     run(main)
 
 
-def test_forgetting_is_for_those_who_are_away():
-    async def main(place):
-        wire = Wire(place.agent, "i0").dial()
+def test_only_an_instance_that_is_not_connected_can_be_forgotten():
+    async def main(harness):
+        fake = FakeInstance(harness.agent, "i0").connect()
         with pytest.raises(AgentRefusedError, match="is connected"):
-            place.agent.forget("ann", "i0")
-        wire.end("cut")
-        place.agent.forget("ann", "i0")
-        assert place.agent.instances == {}
+            harness.agent.forget("ann", "i0")
+        fake.end("cut")
+        harness.agent.forget("ann", "i0")
+        assert harness.agent.instances == {}
 
     run(main)
 
@@ -457,13 +467,13 @@
 @pytest.mark.parametrize(
     ("beat", "state"), [({"state": "drained"}, "drained"), ({}, "serving"), (None, "serving")]
 )
-def test_an_instance_is_in_the_state_that_it_says_as_it_comes(beat, state):
-    """It passed for serving until its first heartbeat: a drained one counted as capacity."""
-
-    async def main(place):
-        wire = Wire(place.agent, "i0")
-        wire.hello["beat"] = beat
-        wire.dial()
-        assert place.agent.instances["i0"].state == state
+def test_the_state_of_an_instance_is_taken_from_its_hello(beat, state):
+    """Without this, a drained instance counted as serving capacity until its first heartbeat."""
+
+    async def main(harness):
+        fake = FakeInstance(harness.agent, "i0")
+        fake.hello["beat"] = beat
+        fake.connect()
+        assert harness.agent.instances["i0"].state == state
 
     run(main)
--- a/tests/fleet/test_agent_disk.py
+++ b/tests/fleet/test_agent_disk.py
@@ -13,7 +13,7 @@
 from covetally.fleet.orders import Command
 from covetally.fleet.rollout import Phase
 from covetally.fleet.store import CannotKeepError
-from tests.fleet.test_agent import AT_ONCE, Wire, run
+from tests.fleet.test_agent import AT_ONCE, FakeInstance, run
 
 FAILING_STATEMENTS = ("COMMIT", "BEGIN IMMEDIATE")
 
@@ -41,24 +41,24 @@
     return disk
 
 
-def applied(wire: Wire) -> list[int]:
+def applied(fake: FakeInstance) -> list[int]:
     """The revisions that were sent to an instance."""
-    return [message["revision"] for message in wire.sent if message["t"] == "apply"]
+    return [message["revision"] for message in fake.sent if message["t"] == "apply"]
 
 
 @pytest.mark.parametrize("failing", FAILING_STATEMENTS)
 def test_a_change_that_cannot_be_saved_is_not_made_and_can_be_made_later(failing):
-    async def main(place):
-        wire = Wire(place.agent, "i0").dial()
-        disk = break_disk(place.agent, failing)
+    async def main(harness):
+        fake = FakeInstance(harness.agent, "i0").connect()
+        disk = break_disk(harness.agent, failing)
         with pytest.raises(CannotKeepError):
-            place.change(limits__max_attempts=2)
+            harness.change(limits__max_attempts=2)
         await asyncio.sleep(0.05)
-        assert place.agent.head().number == 0 and place.agent.rollouts() == [] and applied(wire) == []
+        assert harness.agent.head().number == 0 and harness.agent.rollouts() == [] and applied(fake) == []
         disk.failing = ""
-        place.change(limits__max_attempts=2)
-        await place.settled()
-        assert wire.values == {"limits.max_attempts": 2}
+        harness.change(limits__max_attempts=2)
+        await harness.wait_until_settled()
+        assert fake.values == {"limits.max_attempts": 2}
 
     run(main)
 
@@ -66,24 +66,24 @@
 def test_a_rollout_waits_while_the_disk_refuses_and_then_continues():
     """The rollout's state was regarded as saved, and its pending sends were lost."""
 
-    async def main(place):
-        wires = [Wire(place.agent, f"i{number}").dial() for number in range(3)]
-        wires[0].silent = True
+    async def main(harness):
+        fakes = [FakeInstance(harness.agent, f"i{number}").connect() for number in range(3)]
+        fakes[0].silent = True
         plan = replace(AT_ONCE, canary=1, shares=(1.0,))
-        number = place.change(plan=plan, limits__max_attempts=2)["rollout"]["number"]
+        number = harness.change(plan=plan, limits__max_attempts=2)["rollout"]["number"]
         await asyncio.sleep(0.05)
-        disk = break_disk(place.agent)
-        wires[0]._obey(wires[0].sent[-1])  # the canary applies it; the others would be next
+        disk = break_disk(harness.agent)
+        fakes[0]._apply_and_answer(fakes[0].sent[-1])  # the canary applies it; the others would be next
         await asyncio.sleep(0.2)
-        assert [applied(wire) for wire in wires] == [[1], [], []], "only saved state may be sent"
+        assert [applied(fake) for fake in fakes] == [[1], [], []], "only saved state may be sent"
         disk.failing = ""
-        await place.settled()
-        assert place.agent.rollout_record(number).rollout.phase is Phase.DONE
-        assert [applied(wire) for wire in wires] == [[1], [1], [1]]
-        place.agent.close()
-        place.open()
-        assert {m.state.value for m in place.agent.rollout_record(number).rollout.members.values()} == {"took"}
-        late = Wire(place.agent, "late").dial()
+        await harness.wait_until_settled()
+        assert harness.agent.rollout_record(number).rollout.phase is Phase.DONE
+        assert [applied(fake) for fake in fakes] == [[1], [1], [1]]
+        harness.agent.close()
+        harness.open()
+        assert {m.state.value for m in harness.agent.rollout_record(number).rollout.members.values()} == {"took"}
+        late = FakeInstance(harness.agent, "late").connect()
         await asyncio.sleep(0.05)
         assert applied(late) == [1], "the default revision is saved too"
 
@@ -91,26 +91,28 @@
 
 
 def test_an_undo_that_cannot_be_saved_changes_nothing_and_can_be_repeated():
-    async def main(place):
-        wire = Wire(place.agent, "i0").dial()
-        number = place.change(limits__max_attempts=2)["rollout"]["number"]
-        await place.settled()
-        disk = break_disk(place.agent)
+    async def main(harness):
+        fake = FakeInstance(harness.agent, "i0").connect()
+        number = harness.change(limits__max_attempts=2)["rollout"]["number"]
+        await harness.wait_until_settled()
+        disk = break_disk(harness.agent)
         with pytest.raises(CannotKeepError):
-            place.agent.steer("ann", number, "undo", "")
-        assert place.agent.rollout_record(number).rollout.phase is Phase.DONE and place.agent.head().number == 1
+            harness.agent.steer("ann", number, "undo", "")
+        assert (
+            harness.agent.rollout_record(number).rollout.phase is Phase.DONE and harness.agent.head().number == 1
+        )
         disk.failing = ""
-        place.agent.steer("ann", number, "undo", "")
-        await place.settled()
-        assert wire.values == {} and place.agent.head().number == 2
+        harness.agent.steer("ann", number, "undo", "")
+        await harness.wait_until_settled()
+        assert fake.values == {} and harness.agent.head().number == 2
 
     run(main)
 
 
 def test_operator_requests_that_cannot_be_saved_change_nothing():
-    async def main(place):
-        agent = place.agent
-        wire = Wire(agent, "i0").dial()
+    async def main(harness):
+        agent = harness.agent
+        fake = FakeInstance(agent, "i0").connect()
         agent.freeze("ann", 60.0, "name=x", "sale", "ann")
         disk = break_disk(agent)
         for request in (
@@ -124,7 +126,7 @@
             await agent.order(Command("drain", "ann"), "")
         assert [row["state"] for row in agent.freezes.as_dicts(agent.clock.now())] == ["in force"]
         assert agent.rollouts() == [] and agent.drains.run is None and not agent.orders.desired("i0").draining
-        wire.end("gone")
+        fake.end("gone")
         with pytest.raises(CannotKeepError):
             agent.forget("ann", "i0")
         assert "i0" in agent.instances
@@ -133,7 +135,7 @@
         agent.forget("ann", "i0")
         agent.thaw("ann", 1)
         agent.close()
-        place.open()
-        assert list(place.agent.instances) == [] and place.agent.freezes.as_dicts(0)[0]["state"] == "lifted"
+        harness.open()
+        assert list(harness.agent.instances) == [] and harness.agent.freezes.as_dicts(0)[0]["state"] == "lifted"
 
     run(main)
--- a/tests/fleet/test_links.py
+++ b/tests/fleet/test_links.py
@@ -1,4 +1,4 @@
-"""Links over real sockets: whatever comes is bounded, answered clearly, and holds up nobody else."""
+"""Links over real sockets: input is limited, errors are answered clearly, and no link delays another."""
 
 from __future__ import annotations
 
@@ -20,9 +20,9 @@
 }  # fmt: skip
 
 
-class Owner:
+class RecordingHandler:
     def __init__(self) -> None:
-        self.got, self.gone, self.links = [], [], []
+        self.messages, self.ended_links, self.links = [], [], []
 
     def admit(self, link, hello):
         if hello["name"] == "unwanted":
@@ -32,23 +32,23 @@
         return None
 
     def received(self, link, message) -> None:
-        self.got.append((link.name, message["t"]))
+        self.messages.append((link.name, message["t"]))
 
     def ended(self, link, reason) -> None:
-        self.gone.append((link.name, reason))
+        self.ended_links.append((link.name, reason))
 
 
 @asynccontextmanager
 async def listening(tmp_path):
-    owner = Owner()
-    here = Links(owner)
+    handler = RecordingHandler()
+    links_under_test = Links(handler)
     path = tmp_path / "s"
-    await here.listen_unix(path)
+    await links_under_test.listen_unix(path)
     try:
         async with asyncio.timeout(20):
-            yield owner, lambda: asyncio.open_unix_connection(path)
+            yield handler, lambda: asyncio.open_unix_connection(path)
     finally:
-        here.close()
+        links_under_test.close()
 
 
 def frame(message) -> bytes:
@@ -62,7 +62,7 @@
         return b""
 
 
-def test_the_socket_is_its_owner_s_alone(tmp_path):
+def test_only_the_user_of_the_agent_may_use_the_unix_socket(tmp_path):
     async def main():
         async with listening(tmp_path):
             assert stat.S_IMODE(os.stat(tmp_path / "s").st_mode) == 0o600
@@ -71,7 +71,7 @@
 
 
 @pytest.mark.parametrize(
-    "data, said",
+    "data, answer",
     [
         (b"\xff\xff\xff\xff", b""),
         (b"GET / HTTP/1.1\r\n\r\n", b""),
@@ -84,38 +84,38 @@
     ],
     ids=["oversized", "http", "no hello", "no version", "no name", "a path", "a wrong type", "denied"],
 )
-def test_who_does_not_greet_as_it_should_is_ended_at_once(tmp_path, data, said):
+def test_a_link_with_an_invalid_hello_is_closed_at_once(tmp_path, data, answer):
     async def main():
-        async with listening(tmp_path) as (owner, dial):
-            reader, writer = await dial()
+        async with listening(tmp_path) as (handler, connect):
+            reader, writer = await connect()
             writer.write(data)
-            assert said in await read_all(reader)
-            assert owner.got == [] and owner.gone == []
+            assert answer in await read_all(reader)
+            assert handler.messages == [] and handler.ended_links == []
 
     asyncio.run(main())
 
 
-def test_who_says_half_a_hello_is_ended_in_time(tmp_path, monkeypatch):
+def test_a_link_with_an_incomplete_hello_is_closed_after_the_timeout(tmp_path, monkeypatch):
     monkeypatch.setattr(links, "HANDSHAKE_TIMEOUT_S", 0.2)
 
     async def main():
-        async with listening(tmp_path) as (_, dial):
-            reader, writer = await dial()
+        async with listening(tmp_path) as (_, connect):
+            reader, writer = await connect()
             writer.write(frame(HELLO)[:20])
             assert await read_all(reader) == b""
 
     asyncio.run(main())
 
 
-def test_a_thousand_and_more_that_say_nothing_keep_nobody_out(tmp_path):
+def test_many_silent_links_do_not_keep_an_instance_from_connecting(tmp_path):
     async def main():
-        async with listening(tmp_path) as (owner, dial):
-            silent = [await dial() for _ in range(links.MAX_PENDING_LINKS + 200)]
-            reader, writer = await dial()
+        async with listening(tmp_path) as (handler, connect):
+            silent = [await connect() for _ in range(links.MAX_PENDING_LINKS + 200)]
+            reader, writer = await connect()
             writer.write(frame(HELLO))
             assert b"welcome" in await reader.read(100)
             ended = [await asyncio.wait_for(read_all(r), 5) for r, _ in silent[:100]]
-            assert ended == [b""] * 100, "the oldest of them went"
+            assert ended == [b""] * 100, "the oldest of them are closed"
             for _, w in silent:
                 w.close()
 
@@ -131,37 +131,37 @@
     ],
     ids=["oversized", "no JSON", "too fast"],
 )
-def test_one_that_was_let_in_and_sends_what_it_must_not_is_ended_and_named(tmp_path, data):
+def test_an_accepted_link_that_sends_invalid_data_is_closed_and_its_instance_reported(tmp_path, data):
     async def main():
-        async with listening(tmp_path) as (owner, dial):
-            other_reader, other = await dial()
+        async with listening(tmp_path) as (handler, connect):
+            other_reader, other = await connect()
             other.write(frame(HELLO | {"name": "good"}))
-            reader, writer = await dial()
+            reader, writer = await connect()
             writer.write(frame(HELLO))
             await reader.read(100)
             writer.write(data)
             await read_all(reader)
-            while not owner.gone:
+            while not handler.ended_links:
                 await asyncio.sleep(0.01)
-            assert owner.gone[0][0] == "i0" and "sent an invalid message" in owner.gone[0][1]
+            assert handler.ended_links[0][0] == "i0" and "sent an invalid message" in handler.ended_links[0][1]
             other.write(frame({"t": "seen"}))
-            while ("good", "seen") not in owner.got:
+            while ("good", "seen") not in handler.messages:
                 await asyncio.sleep(0.01)
 
     asyncio.run(main())
 
 
-def test_one_that_does_not_read_is_ended_and_holds_up_nobody(tmp_path):
+def test_a_link_that_does_not_read_is_closed(tmp_path):
     async def main():
-        async with listening(tmp_path) as (owner, dial):
-            _, writer = await dial()
+        async with listening(tmp_path) as (handler, connect):
+            _, writer = await connect()
             writer.write(frame(HELLO))
-            while not owner.links:
+            while not handler.links:
                 await asyncio.sleep(0.01)
             for _ in range(50):
-                owner.links[0].send({"t": "apply", "x": "y" * 500_000})
-            while not owner.gone:
+                handler.links[0].send({"t": "apply", "x": "y" * 500_000})
+            while not handler.ended_links:
                 await asyncio.sleep(0.01)
-            assert "does not read" in owner.gone[0][1]
+            assert "does not read" in handler.ended_links[0][1]
 
     asyncio.run(main())
--- a/tests/fleet/test_preflight.py
+++ b/tests/fleet/test_preflight.py
@@ -1,4 +1,4 @@
-"""Asking before anything is written: what answers come to, silence within a bounded time, undo in any order."""
+"""Preflight: the summary of answers and the limited wait for them; also the layer that undoes a change."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 PROBLEM = {"key": "k", "reason": "no", "value": 1, "remedy": ""}
 
 
-def test_what_answers_come_to():
+def test_answers_are_counted_as_accepting_refused_or_unknown():
     found = preflight.summarize({
         "a": {"problems": [], "restart": []}, "b": {"problems": [PROBLEM], "restart": []},
         "c": {"problems": [], "restart": ["process.backlog"]}, "d": {"error": "not connected"}, "e": None,
@@ -32,12 +32,12 @@
 
 
 @given(st.dictionaries(st.text(max_size=5), st.none() | st.integers() | st.text() | ANSWERS))
-def test_whatever_is_answered_each_is_counted_once(answers):
+def test_each_answer_is_counted_once_whatever_it_contains(answers):
     found = preflight.summarize(answers)
     assert found.accepting + len(found.refused) + len(found.unknown) == len(answers)
 
 
-def test_who_is_silent_is_unknown_within_the_time_and_the_others_are_heard():
+def test_instances_that_do_not_answer_in_time_are_unknown_and_the_others_are_counted():
     async def ask(name: str):
         if name == "silent":
             await asyncio.Event().wait()
@@ -55,11 +55,11 @@
 
 
 @given(LAYERS, LAYERS, LAYERS)
-def test_taking_back_one_change_leaves_what_others_changed(parent, mine, theirs):
-    """Against a plain model: what mine changed is as before it, all else as the head has it."""
-    every = parse("")
-    made = [Document().with_layer(every, layer) for layer in (parent, mine, theirs)]
-    got = reverted_layer(made[2], made[1], made[0], every)
+def test_undoing_a_change_keeps_the_changes_of_others(parent, mine, theirs):
+    """Compares with a simple model: the keys that `mine` changed are as before it, all others as in the head."""
+    all_instances = parse("")
+    documents = [Document().with_layer(all_instances, layer) for layer in (parent, mine, theirs)]
+    layer = reverted_layer(documents[2], documents[1], documents[0], all_instances)
     for key in "abcd":
         changed = parent.get(key) != mine.get(key)
-        assert got.get(key) == (parent if changed else theirs).get(key)
+        assert layer.get(key) == (parent if changed else theirs).get(key)
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -1,4 +1,4 @@
-"""The agent, its command and real sidecars: each a process, and the failures that the work is for."""
+"""The agent, its command and sidecars as real processes, with the failures that they have to survive."""
 
 from __future__ import annotations
 
@@ -43,8 +43,8 @@
     return (await api(world, "POST", "/v1/revisions", body))["rollout"]["number"]
 
 
-async def ended(world: Managed, number: int, patience_s: float = 30.0):
-    async for table in client.follow(client.target(world.agent_address, None), number, patience_s):
+async def wait_for_end(world: Managed, number: int, timeout_s: float = 30.0):
+    async for table in client.follow(client.target(world.agent_address, None), number, timeout_s):
         last = table
     return last
 
@@ -56,8 +56,8 @@
 # --- the command as an operator uses it -----------------------------------------------------------
 
 
-def test_an_operator_s_day():
-    """Look, dry run, change, restart for a key that needs it, refuse, conflict, undo: words and exit codes."""
+def test_the_commands_of_an_operator_and_their_exit_codes():
+    """Shows, dry runs, changes, restarts, refusals, conflicts and undo: the output and the exit codes."""
 
     async def main():
         async with Managed(Shape(nodes=1, instances=3)) as world:
@@ -76,10 +76,10 @@
             assert code == 1 and "a0 would refuse it: classes.none.aim_ms: this sidecar has no such class" in out
             code, _, err = await world.command("set", "classes.none.aim_ms=5", *quick)
             assert code == 1 and "3 would refuse it" in err and "a0: classes.none.aim_ms" in err
-            assert (await world.get("/v1/status"))["head"] == head  # no revision: it is in nobody's way
+            assert (await world.get("/v1/status"))["head"] == head  # no revision was created
             code, out, _ = await world.command("set", "classes.none.aim_ms=5", "--anyway", *quick)
             assert code == 1 and "1 refused (a0: classes.none.aim_ms: this sidecar has no such class" in out, out
-            assert "undone" in out, out  # the canary refused, nobody has it: it is taken back by itself
+            assert "undone" in out, out  # the canary refused, so the rollout is undone automatically
             code, out, _ = await world.command("set", "log.level=warning", "-m", "good", *quick)
             assert code == 0 and "3 took" in out, out
             code, out, _ = await world.command("unset", "log.level", *quick)
@@ -90,7 +90,7 @@
             assert code == 3 and "came first" in err and "process.backlog (zone=a): None -> 99" in err
             code, out, _ = await world.command("rollout", "undo", "2")
             assert code == 0
-            code, out, _ = await world.command("rollout", "watch", "2")  # till then it is busy: a0 restarts
+            code, out, _ = await world.command("rollout", "watch", "2")  # wait for the undo: a0 restarts
             assert code == 0, out
             listed = (await world.table("list"))["instances"]
             assert [i["name"] for i in listed] == ["a0", "a1", "a2"]
@@ -125,16 +125,18 @@
     run(main)
 
 
-# --- the rollout in trouble -----------------------------------------------------------------------
+# --- rollouts with failures -----------------------------------------------------------------------
 
 
-def test_a_rollout_in_trouble_ends_with_every_instance_in_one_state_and_the_agent_was_killed_half_way():
-    """12 processes: one refuses, one is stopped, one is killed, one is cut off, and the agent dies half-way."""
+def test_a_rollout_with_failing_instances_and_a_killed_agent_ends_with_every_instance_in_a_clear_state():
+    """Of 12 instances one refuses, one is stopped, one killed and one cut off; the agent is killed midway."""
 
     async def main():
         names = [f"a{i}" for i in range(12)]
         async with Managed(Shape(nodes=1, instances=12), relayed=("a03", "a3")) as world:
-            del world.instances["a11"].config["settings"]["classes"][3]  # it does not know of loan-transfer
+            del world.instances["a11"].config["settings"]["classes"][
+                3
+            ]  # it has no class loan-transfer and refuses the change
             await world.start_agent()
             await world.start_instances()
             await world.connected()
@@ -150,7 +152,7 @@
                 await asyncio.sleep(0.005)
             await world.kill_agent()
             await world.start_agent()
-            table = await ended(world, number)
+            table = await wait_for_end(world, number)
             assert table["phase"] == "incomplete"
             missing = {m["name"]: m for m in table["missing"]}
             assert {n: m["state"] for n, m in missing.items()} == {
@@ -163,7 +165,7 @@
                 shown = await world.table("show", name)
                 assert shown["snapshot"]["classes"]["loan-transfer"]["aim_ms"] == 350.0
                 assert world.instances[name].log.count("revision 1: took") == 1, "not applied twice"
-            # They come back, and converge: nobody has to roll out again.
+            # The instances come back and converge without another rollout.
             world.instances["a1"].process.send_signal(signal.SIGCONT)
             world.relays["a3"].set(Fault.CUT)
             world.relays["a3"].set(Fault.NONE)
@@ -177,8 +179,8 @@
     run(main)
 
 
-def test_an_instance_that_takes_a_revision_and_dies_of_it_is_named_and_comes_back_as_it_was(tmp_path):
-    """It dies within moments of each take: its next process starts with the last good one and says so."""
+def test_an_instance_that_dies_soon_after_a_change_is_reported_and_restarts_with_its_previous_settings(tmp_path):
+    """It dies soon after it applied a revision: its next process starts with the last good one and says so."""
 
     async def main():
         async with Managed(Shape(nodes=1, instances=2)) as world:
@@ -188,7 +190,7 @@
             number = await change(world)
             while "revision 1: took" not in world.instances["a1"].log:
                 await asyncio.sleep(0.01)
-            await ended(world, number)
+            await wait_for_end(world, number)
             world.kill_instance("a1")
             await world.instances["a1"].process.wait()
             await world.start_instance("a1")
@@ -201,9 +203,9 @@
 
 
 @pytest.mark.parametrize("when", ["before", "after"])
-def test_the_agent_killed_at_every_commit_of_a_rollout_ends_in_the_same_place(when):
-    """Enumerated over real processes: kill -9 just before, or just after, each commit that the store makes from
-    the change on, until a run has no further commit. One instance refuses; nothing is applied twice."""
+def test_a_rollout_ends_the_same_if_the_agent_is_killed_at_any_commit(when):
+    """Kills the agent with SIGKILL just before or just after each commit that the store makes from the change on,
+    one commit per run, until a run has no further commit. One instance refuses; nothing is applied twice."""
 
     async def main():
         async with Managed(Shape(nodes=1, instances=3)) as world:
@@ -222,9 +224,9 @@
                 try:
                     asked = await change(world, set={"classes.loan-transfer.aim_ms": value})
                 except client.Failure:
-                    asked = 0  # it died before it had answered: the change is there whole, or not at all
+                    asked = 0  # the agent died before it answered: the change exists completely or not at all
                 try:
-                    table = await ended(world, asked or number + 1, 0.0)
+                    table = await wait_for_end(world, asked or number + 1, 0.0)
                     died = world.agent.returncode is not None
                 except client.Failure:
                     died = True
@@ -232,16 +234,16 @@
                     await world.kill_agent()
                     await world.start_agent()
                     if not (await api(world, "GET", "/v1/status"))["head"] > number:
-                        assert asked == 0 and kills == 1, "a change that was promised is gone"
+                        assert asked == 0 and kills == 1, "a confirmed change is lost"
                         continue
-                    table = await ended(world, number + 1)
+                    table = await wait_for_end(world, number + 1)
                 number += 1
                 assert table["number"] == number
                 assert states(table) == {"a0": "took", "a1": "took", "a2": "refused"}, f"kill {kills}"
                 try:
                     await world.connected()
                     shows = [await world.table("show", name) for name in ("a0", "a1")]
-                except (AgentError, OSError):  # it died at the last commit, after its table was read
+                except (AgentError, OSError):  # the agent died at the last commit, after its table was read
                     died = True
                     await world.kill_agent()
                     await world.start_agent()
@@ -256,14 +258,14 @@
     run(main)
 
 
-def test_an_acknowledgement_that_is_lost_is_took_and_not_applied_twice():
+def test_a_change_whose_acknowledgement_is_lost_is_not_applied_twice():
     async def main():
         async with Managed(Shape(nodes=1, instances=1), relayed=("a0",)) as world:
             await world.start_agent()
             await world.start_instances()
             await world.connected()
             relay = world.relays["a0"]
-            relay.set(Fault.HALF_CLOSE)  # towards the sidecar nothing more; from it all still comes
+            relay.set(Fault.HALF_CLOSE)  # nothing reaches the sidecar; its messages still arrive
             relay.set(Fault.CUT)
             relay.set(Fault.NONE)
             await world.connected()
@@ -272,7 +274,7 @@
                 await asyncio.sleep(0.002)
             relay.set(Fault.CUT)
             relay.set(Fault.NONE)
-            table = await ended(world, number)
+            table = await wait_for_end(world, number)
             assert (table["phase"], states(table)) == ("done", {"a0": "took"})
             kept = world.kept("a0")
             assert (kept["trial"] or kept["good"])["revision"] == 1
@@ -281,7 +283,7 @@
     run(main)
 
 
-def test_all_are_restarted_under_load_with_one_out_at_a_time_and_no_request_is_lost():
+def test_restarting_all_instances_one_at_a_time_under_load_loses_no_request():
     async def main():
         async with Managed(Shape(nodes=4, instances=3)) as world:
             await world.start_supervised()
@@ -299,7 +301,7 @@
             verdict = world.account.judge()
             assert verdict.breaks == ()
             assert verdict.served > 400
-            # The agent dies and comes back: what it supervises lives on and is known again.
+            # After a restart the agent adopts the processes that it supervised before.
             await world.kill_agent()
             await world.start_supervised()
             again = {i["name"]: i["pid"] for i in (await world.table("list"))["instances"]}
@@ -312,12 +314,12 @@
                 await asyncio.sleep(0.1)
             assert await world.end_agent() == 0
             for name, instance in world.instances.items():
-                assert "ends" in instance.log.splitlines()[-1], f"{name} was left behind"
+                assert "ends" in instance.log.splitlines()[-1], f"{name} was not stopped"
 
     run(main)
 
 
-def test_a_process_that_crashes_at_every_start_is_found_and_named():
+def test_a_process_that_crashes_at_every_start_is_reported():
     async def main():
         async with Managed(Shape(nodes=1, instances=1)) as world:
             supervise = world.folder / "supervise.toml"
@@ -334,17 +336,17 @@
     run(main)
 
 
-# --- who may --------------------------------------------------------------------------------------
+# --- access control -------------------------------------------------------------------------------
 
 READ, WRITE, INST = "r" * 20, "w" * 20, "i" * 20
 
 
-def test_who_may_do_what_over_tcp_and_over_the_socket():
+def test_tokens_restrict_access_over_tcp():
     async def main():
         async with Managed(Shape(nodes=1, instances=2)) as world:
             tokens = world.folder / "tokens"
             tokens.write_text(f"rita reader {READ}\nolga operator {WRITE}\na0 instance {INST}\n")
-            with pytest.raises(AgentError, match="--tokens is needed"):
+            with pytest.raises(AgentError, match="--tokens is required"):
                 await world.start_agent("--listen", "127.0.0.1:0")
             where = ("--listen", "127.0.0.1:0", "--listen-instances", "127.0.0.1:0", "--tokens", str(tokens))
             await world.start_agent(*where)
@@ -402,7 +404,7 @@
         ("POST", "/v1/rollouts/1/undo", {}, "unknown"),
     ],
 )
-def test_bad_calls_get_a_clear_error(method, path, body, code, agent_alone):
+def test_invalid_calls_get_a_clear_error(method, path, body, code, agent_alone):
     async def main():
         with pytest.raises(client.Failure) as caught:
             await api(agent_alone, method, path, body)
@@ -413,7 +415,7 @@
 
 @pytest.fixture(scope="module")
 def agent_alone(tmp_path_factory):
-    """An agent without instances, for calls that never reach one."""
+    """An agent without instances, for calls that need none."""
     state = tmp_path_factory.mktemp("state")
 
     class Alone:
@@ -436,7 +438,7 @@
     loop.close()
 
 
-def test_of_operators_who_race_over_the_api_one_wins_each_time_and_the_others_are_told_of_it(agent_alone):
+def test_of_concurrent_changes_one_is_accepted_and_the_others_get_a_conflict_that_names_it(agent_alone):
     async def main():
         for turn in range(25):
             head = (await api(agent_alone, "GET", "/v1/status"))["head"]
@@ -455,7 +457,7 @@
     run(main)
 
 
-def test_two_agents_do_not_share_a_folder(agent_alone):
+def test_a_second_agent_on_the_same_folder_does_not_start(agent_alone):
     async def main():
         state = Path(agent_alone.agent_address.removeprefix("unix:")).parent
         process = await asyncio.create_subprocess_exec(
