--- a/covetally/lab/ways.py
+++ b/covetally/lab/ways.py
@@ -25,7 +25,7 @@
     for step in schedule:
         if step.do == "demand":
             demand.update(dict.fromkeys(step.members, step.amount))
-    served = sum(min(rule.own, wanted) for wanted in demand.values())
+    served = sum(min(rule.quota, wanted) for wanted in demand.values())
     waste = max(0.0, min(sum(demand.values()), rule.amount) - served) / rule.amount
     return Found(waste=waste, waste_bound=1.0 - 1.0 / rule.members)
 
