--- a/benchmarks/cold.py
+++ b/benchmarks/cold.py
@@ -31,9 +31,11 @@
                     pick, "slow_start_share", pick.slow_start_share if ramp else lambda *_: 1.0
                 ):
                     plays = (play(sidecars, 20, cold, 0.7, s)[0] for s in range(seeds))
-                    found = max(plays, key=lambda f: f.share)
-                fell = fell or (ramp and found.share >= 1.0)
-                rows[name] = f"{found.came:.0f} of {found.bears:.0f} at {found.at_s} s: {found.share:.2f}"
+                    found = max(plays, key=lambda f: f.load_ratio)
+                fell = fell or (ramp and found.load_ratio >= 1.0)
+                rows[name] = (
+                    f"{found.received:.0f} of {found.capacity:.0f} at {found.at_s} s: {found.load_ratio:.2f}"
+                )
     show("cold nodes, worst window", rows, as_json)
     raise SystemExit(int(fell))
 
--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -14,8 +14,8 @@
 import click
 
 from benchmarks.report import progress, show
-from covetally.lab.limits import Found, play
-from covetally.lab.ways import fixed, merged
+from covetally.lab.limits import LimitResult, play
+from covetally.lab.quota_models import fixed_split, merged_counters
 from covetally.rig.schedule import draw, save, shrink
 from covetally.tier.limits import Rule
 
@@ -30,11 +30,11 @@
     }
 
 
-def row(plays: list[Found]) -> dict[str, float]:
+def row(plays: list[LimitResult]) -> dict[str, float]:
     """The worst of some plays, shares of the limit in %."""
     return {
         "plays": len(plays),
-        "over_pct": round(100 * max(p.over for p in plays), 4),
+        "over_pct": round(100 * max(p.overshoot for p in plays), 4),
         "unused_pct": round(100 * max(p.waste for p in plays), 1),
         "its_bound_pct": round(100 * max(p.waste_bound for p in plays), 1),
         "past_its_bound": sum(p.waste > p.waste_bound + 0.01 for p in plays),
@@ -57,18 +57,18 @@
                 schedule = draw(seed, size, SECONDS, rule.amount)
                 found = play(schedule, seed, rule, SECONDS)
                 plays.append(found)
-                if found.over > 1e-6:
+                if found.overshoot > 1e-6:
                     broken += 1
-                    least = shrink(schedule, lambda s, n=seed, r=rule: play(s, n, r, SECONDS).over > 1e-6)
-                    progress(f"seed {seed}, {kind}, {size} members: over by {found.over:.3%}: {least}")
+                    least = shrink(schedule, lambda s, n=seed, r=rule: play(s, n, r, SECONDS).overshoot > 1e-6)
+                    progress(f"seed {seed}, {kind}, {size} members: over by {found.overshoot:.3%}: {least}")
                     if keep is not None:
                         save(least, keep / f"limit-{size}-{seed}.jsonl")
             rows[f"{size} members, {kind}, escrow"] = row(plays)
             progress(f"{size} members, {kind}: {row(plays)}")
         rule = rules(size)["calls/s"]
         schedules = [draw(seed, size, SECONDS, rule.amount) for seed in range(seeds)]
-        rows[f"{size} members, calls/s, fixed split"] = row([fixed(s, rule, SECONDS) for s in schedules])
-        plays = [merged(s, seed, rule, SECONDS) for seed, s in enumerate(schedules)]
+        rows[f"{size} members, calls/s, fixed split"] = row([fixed_split(s, rule, SECONDS) for s in schedules])
+        plays = [merged_counters(s, seed, rule, SECONDS) for seed, s in enumerate(schedules)]
         rows[f"{size} members, calls/s, merged counters"] = row(plays)
     show(f"limits under {seeds} schedules of faults, the worst of them", rows, as_json)
     sys.exit(1 if broken else 0)
--- a/benchmarks/tier.py
+++ b/benchmarks/tier.py
@@ -13,23 +13,23 @@
 import click
 
 from benchmarks.report import progress, show
-from covetally.lab.tier import Tier
+from covetally.lab.tier import MembershipSimulation
 from covetally.tier.swim import SECOND, State
 from covetally.tier.wire import HEADER
 
 
 def play(size: int, seed: int, lost: float) -> dict[str, float]:
     """One member dies after the tier has met."""
-    tier = Tier(size, seed, lost)
+    tier = MembershipSimulation(size, seed, lost)
     tier.run(3 * size + 10)
     began, sent, octets, cpu = tier.now, sum(tier.sent.values()), tier.bytes, time.process_time()
     tier.kill(0)
-    found = tier.run(180, lambda: tier.believing(0, State.GONE) >= 0.99 * (size - 1))
+    found = tier.run(180, lambda: tier.count_views(0, State.GONE) >= 0.99 * (size - 1))
     tier.run(60)
     passed = (tier.now - began) / SECOND
     return {
         "gone_s": found,
-        "wrongly_gone": tier.wrongly_gone(),
+        "wrongly_gone": tier.count_false_removals(),
         "datagrams_per_s": (sum(tier.sent.values()) - sent) / passed / size,
         "bytes_per_s": (tier.bytes - octets) / passed / size,
         "cpu_us_per_s": (time.process_time() - cpu) / passed / size * 1e6,
--- a/benchmarks/verdicts.py
+++ b/benchmarks/verdicts.py
@@ -14,7 +14,7 @@
 import click
 
 from benchmarks.report import progress, show
-from covetally.lab.verdicts import Calls
+from covetally.lab.outlier_detection import OutlierSimulation
 
 RATE = 20.0
 HORIZON_S = 2.5  # of a sidecar that learns alone: the first pause before it tries again, then doubled to 8 times
@@ -22,15 +22,15 @@
 
 def together(size: int, nodes: int, seed: int) -> dict[str, float]:
     """One node dies under a tier that tells."""
-    calls = Calls(size, nodes, seed, RATE)
+    calls = OutlierSimulation(size, nodes, seed, RATE)
     calls.run(5)
     calls.down = {"n4"}
-    known = calls.run(60, lambda: calls.avoiding("n4") >= 0.99)
+    known = calls.run(60, lambda: calls.ejecting_share("n4") >= 0.99)
     failed = sum(count for (_, name), count in calls.failed.items() if name == "n4")
     sent, octets, cpu = sum(calls.tier.sent.values()), calls.tier.bytes, time.process_time()
     calls.run(15)
     after = sum(count for (_, name), count in calls.failed.items() if name == "n4") - failed
-    others = {a.server for n in calls.tier.nodes for a in calls.advice(n).servers} - {"n4"}
+    others = {a.server for n in calls.tier.nodes for a in calls.ejections(n).servers} - {"n4"}
     return {
         "known_s": known, "failed": failed, "calls_after": after, "wrongly_avoided": len(others),
         "datagrams_per_s": (sum(calls.tier.sent.values()) - sent) / 15 / size,
@@ -63,16 +63,16 @@
 
 def lied_to(size: int, nodes: int, seed: int, share: float) -> float:
     """The share of nodes that a member avoids for nothing."""
-    calls = Calls(size, nodes, seed, RATE)
+    calls = OutlierSimulation(size, nodes, seed, RATE)
     calls.run(3)
     liars = random.Random(seed).sample(range(size), max(1, round(share * size)))
-    calls.liars = {number: tuple(calls.zone_of) for number in liars}
+    calls.false_reporters = {number: tuple(calls.zone_of) for number in liars}
     seen, looks = 0, 0
     for _ in range(20):
         calls.run(0.5)
         for number in calls.tier.nodes:
-            if number not in calls.liars:
-                seen += len({a.server for a in calls.advice(number).servers})
+            if number not in calls.false_reporters:
+                seen += len({a.server for a in calls.ejections(number).servers})
                 looks += 1
     return seen / looks / nodes
 
--- a/covetally/lab/cold.py
+++ b/covetally/lab/cold.py
@@ -1,11 +1,17 @@
-"""Rule four in arithmetic and in play: what all sidecars together send to cold nodes beside what makes one fall.
-
-With n nodes, S sidecars and R requests a second over all, a cold node of warmth w is drawn by a call with
-chance 2 / n at most (the better of two), and kept with chance r(w) = w ** 1.5, whatever S is: 2 R r(w) T / n
-requests in the settings' time T. It falls past N + 2 root N + 2, with N = m C w T, C what a warm one does and m
-the settings' multiple. With R = load x n C that is 2 load w ** 0.5 / m of N at most: below N for any load up to
-m / 2. Where a share f of the nodes is cold, a call redraws what it does not keep, so that what is cold gets up
-to min(1, 2 f r / (1 - f)) of all.
+"""Simulates the load that all sidecars together put on cold nodes, and compares it with what overloads one.
+
+Rule four is that the sidecars never overload a cold node. The bound follows from slow start:
+
+- There are n nodes and S sidecars, with R requests a second in total. T is the overload window of the settings.
+- A call draws a given cold node of warmth w with probability 2 / n at most (the better of two choices), and
+  keeps it with probability r(w) = w ** 1.5. So the node receives at most 2 R r(w) T / n requests within T,
+  whatever S is.
+- The node is overloaded by more than N + 2 sqrt(N) + 2 requests within T, where N = m C w T, C is the capacity
+  of a warm node a second and m the overload multiple of the settings. The rest allows for chance.
+- With R = load * n C, the node receives at most 2 load w ** 0.5 / m of N, which is below N for any load up to
+  m / 2.
+- If a share f of the nodes is cold, a call that does not keep a cold node draws again. The cold nodes together
+  then receive up to min(1, 2 f r / (1 - f)) of all requests.
 """
 
 from __future__ import annotations
@@ -23,30 +29,33 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Found:
-    """The worst window: requests of mean work that came in the settings' time, beside what the node then
-    bears."""
+class OverloadWindow:
+    """The window in which a cold node came nearest to overload.
 
-    came: float
-    bears: float
+    `received` and `capacity` count requests of mean work within the overload window: those that arrived, and
+    those that overload the node at its warmth at that time.
+    """
+
+    received: float
+    capacity: float
     at_s: float
 
     @property
-    def share(self) -> float:
-        """1 or more: it fell."""
-        return self.came / self.bears
+    def load_ratio(self) -> float:
+        """Return received / capacity; at 1 or more the node was overloaded."""
+        return self.received / self.capacity
 
 
-def allowed(settings: Settings, slots: int, warmth: float, mean_ns: float) -> float:
-    """The work, in ns, at which a cold node of this warmth falls."""
-    inv = settings.invariants
-    return cold_most(inv.overload_multiple * slots * warmth * inv.overload_window_ns, mean_ns)
+def overload_work_ns(settings: Settings, slots: int, warmth: float, mean_ns: float) -> float:
+    """Return the work, in ns within the overload window, that overloads a node of this warmth."""
+    invariants = settings.invariants
+    return cold_most(invariants.overload_multiple * slots * warmth * invariants.overload_window_ns, mean_ns)
 
 
-def worst(fleet: Fleet, books: Books) -> Found:
-    """The window that came nearest to a fall, over all cold nodes."""
-    found = Found(0.0, 1.0, 0.0)
-    fall_ns = fleet.settings.invariants.overload_window_ns
+def find_worst_window(fleet: Fleet, books: Books) -> OverloadWindow:
+    """Return the window with the highest load ratio, over all nodes that start cold."""
+    worst = OverloadWindow(0.0, 1.0, 0.0)
+    window_ns = fleet.settings.invariants.overload_window_ns
     for node in fleet.nodes:
         if node.shape.started_s < 0:
             continue
@@ -58,26 +67,29 @@
                 continue
             window.append((at, cost))
             work += cost
-            while window[0][0] <= at - fall_ns:
+            while window[0][0] <= at - window_ns:
                 work -= window.popleft()[1]
-            bears = allowed(fleet.settings, node.shape.slots, node.warmth(at), WORK_MS * MS)
-            if work / bears > found.share:
-                found = Found(work / (WORK_MS * MS), bears / (WORK_MS * MS), round(at / SECOND, 2))
-    return found
+            overload_ns = overload_work_ns(fleet.settings, node.shape.slots, node.warmth(at), WORK_MS * MS)
+            if work / overload_ns > worst.load_ratio:
+                worst = OverloadWindow(work / (WORK_MS * MS), overload_ns / (WORK_MS * MS), round(at / SECOND, 2))
+    return worst
 
 
 def play(
     sidecars: int, nodes: int, cold: int, load: float, seed: int, cold_from: float = 0.1
-) -> tuple[Found, Books]:
-    """`cold` of the nodes start at second 2 of 10, all sidecars know of it, at `load` of what all warm ones can
-    do."""
+) -> tuple[OverloadWindow, Books]:
+    """Simulate 10 s in which `cold` of the nodes start cold at second 2; return the worst window and the books.
+
+    All sidecars know when these nodes started. `load` is the request rate as a share of the capacity of all
+    nodes when warm, and `cold_from` the warmth at which a node starts.
+    """
     settings = Settings.parse(site_settings(0, sidecars, cold_from, 8000))
-    capacity = nodes * SLOTS / (WORK_MS / 1000)
+    total_capacity = nodes * SLOTS / (WORK_MS / 1000)
     shapes = tuple(
         NodeShape(SLOTS, zone=i % 3, cold_from=cold_from, cold_s=8.0, started_s=2.0 if i < cold else -1.0)
         for i in range(nodes)
     )
-    plan = Plan(10.0, ((0.0, load * capacity),), (ClassLoad(0, 1.0, WORK_MS),), shapes, sidecars, seed)
+    plan = Plan(10.0, ((0.0, load * total_capacity),), (ClassLoad(0, 1.0, WORK_MS),), shapes, sidecars, seed)
     fleet = Fleet(plan, settings)
     books = fleet.run()
-    return worst(fleet, books), books
+    return find_worst_window(fleet, books), books
--- a/tests/tier/test_limits.py
+++ b/tests/tier/test_limits.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from covetally.lab.limits import play
-from covetally.lab.tier import Whole
+from covetally.lab.tier import TierSimulation
 from covetally.rig.schedule import Link, Step, draw, load, save, shrink
 from covetally.tier import limits as module
 from covetally.tier.limits import RESERVED_FRACTION, Grant, LeaseRequest, MemberQuota, Rule
@@ -23,7 +23,7 @@
 def seeds_over_limit(rule: Rule, seeds: range) -> list[int]:
     """The seeds whose schedules exceeded the limit."""
     return [seed for seed in seeds
-            if play(draw(seed, rule.members, SECONDS, rule.amount), seed, rule, SECONDS).over > 1e-6]  # fmt: skip
+            if play(draw(seed, rule.members, SECONDS, rule.amount), seed, rule, SECONDS).overshoot > 1e-6]  # fmt: skip
 
 
 @pytest.mark.parametrize("rule", [RULE, CALLS], ids=lambda rule: rule.name)
@@ -31,17 +31,17 @@
     for seed in range(12):
         schedule = draw(seed, rule.members, SECONDS, rule.amount)
         found = play(schedule, seed, rule, SECONDS)
-        assert found.over <= 1e-6, f"seed {seed}, at {found.at_s:.2f} s: {schedule}"
+        assert found.overshoot <= 1e-6, f"seed {seed}, at {found.at_s:.2f} s: {schedule}"
         assert found.waste <= found.waste_bound + 0.01, f"seed {seed}: {found}"
 
 
-def tier_of(rule: Rule, seed: int = 1) -> Whole:
-    tier = Whole(rule.members, seed, lambda number: MemberConfig(rules=(rule,), outlier_detection=False))
+def tier_of(rule: Rule, seed: int = 1) -> TierSimulation:
+    tier = TierSimulation(rule.members, seed, lambda number: MemberConfig(rules=(rule,), outlier_detection=False))
     tier.run(10)
     return tier
 
 
-def usable(tier: Whole, number: int, rule: Rule = RULE) -> float:
+def usable(tier: TierSimulation, number: int, rule: Rule = RULE) -> float:
     return tier.nodes[number].usable(tier.time(number))[rule.name].amount
 
 
@@ -190,9 +190,9 @@
         self.hold_until = now
 
     schedule = (Step(9, "demand", (0,), amount=90.0), Step(14, "kill", (3,)), Step(14.1, "start", (3,)))
-    assert play(schedule, 1, RULE, 20).over == 0.0
+    assert play(schedule, 1, RULE, 20).overshoot == 0.0
     monkeypatch.setattr(MemberQuota, "__init__", faulty)
-    assert play(schedule, 1, RULE, 20).over > 0.1
+    assert play(schedule, 1, RULE, 20).overshoot > 0.1
 
 
 def test_a_lender_that_reuses_a_loan_too_early_is_detected(monkeypatch):
--- a/tests/tier/test_outlier_detection.py
+++ b/tests/tier/test_outlier_detection.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from covetally.interface import AttemptStatus
-from covetally.lab.verdicts import Calls
+from covetally.lab.outlier_detection import OutlierSimulation
 from covetally.rig.schedule import Link, Step
 from covetally.tier import outlier_detection as module
 from covetally.tier import reports as reports_module
@@ -20,14 +20,14 @@
 CUT = Link(cut=True)
 
 
-def members(calls: Calls, zone: int | None = None) -> list[int]:
-    return [n for n in calls.tier.nodes if n not in calls.liars and (zone is None or n % 3 == zone)]
+def members(calls: OutlierSimulation, zone: int | None = None) -> list[int]:
+    return [n for n in calls.tier.nodes if n not in calls.false_reporters and (zone is None or n % 3 == zone)]
 
 
-def settled(size: int = 12, nodes: int = 12, seed: int = 1, **more) -> Calls:
-    calls = Calls(size, nodes, seed, **more)
+def settled(size: int = 12, nodes: int = 12, seed: int = 1, **more) -> OutlierSimulation:
+    calls = OutlierSimulation(size, nodes, seed, **more)
     calls.run(3)
-    assert all(calls.advice(n) == Ejections() for n in calls.tier.nodes)
+    assert all(calls.ejections(n) == Ejections() for n in calls.tier.nodes)
     return calls
 
 
@@ -38,45 +38,45 @@
 
     def known() -> bool:
         callers.update(m for (m, name), failed in calls.failed.items() if name == "n4" and failed)
-        return calls.avoiding("n4") == 1.0
+        return calls.ejecting_share("n4") == 1.0
 
     assert calls.run(5, known) < 5
     assert len(callers) < 12
-    assert {a.server for n in calls.tier.nodes for a in calls.advice(n).servers} == {"n4"}
+    assert {a.server for n in calls.tier.nodes for a in calls.ejections(n).servers} == {"n4"}
 
 
 def test_one_member_at_a_time_probes_an_ejected_node_and_a_success_restores_it():
     calls = settled()
     calls.down = {"n4"}
     calls.run(20)
-    times = [at for at, _, _ in calls.trials]
+    times = [at for at, _, _ in calls.probes]
     assert len(times) >= 3
     assert all(b - a >= PROBE_SLOT_NS / SECOND for a, b in zip(times, times[1:], strict=False)), times
-    assert len({member for _, member, _ in calls.trials}) > 1  # the turn passes to other members
+    assert len({member for _, member, _ in calls.probes}) > 1  # the turn passes to other members
     calls.down = set()
-    assert calls.run(20, lambda: calls.avoiding("n4") == 0.0) < 20
+    assert calls.run(20, lambda: calls.ejecting_share("n4") == 0.0) < 20
     # Its process had ended, so all balancers learn that it is a new one and apply slow start.
-    assert sum(bool(calls.advice(n).restarted) for n in calls.tier.nodes) == 12
+    assert sum(bool(calls.ejections(n).restarted) for n in calls.tier.nodes) == 12
 
 
 def test_probing_continues_when_the_members_whose_turn_it_is_are_stopped():
     calls = settled(seed=3)
     calls.down = {"n4"}
     calls.run(2)
-    before = len(calls.trials)
+    before = len(calls.probes)
     for number in list(calls.tier.nodes)[:8]:
         calls.tier.stop(number)
     calls.run(12)
-    assert len(calls.trials) > before
+    assert len(calls.probes) > before
 
 
 def test_a_node_unreachable_from_one_zone_is_ejected_in_that_zone_only():
     calls = settled(size=15)
     bad = AttemptStatus.CONNECT_FAILED
-    calls.fate = lambda member, node, cls: bad if node == "n4" and member % 3 == 2 else AttemptStatus.OK
+    calls.attempt_status = lambda member, node, cls: bad if node == "n4" and member % 3 == 2 else AttemptStatus.OK
     calls.run(6)
-    assert all(any(a.server == "n4" for a in calls.advice(n).servers) for n in members(calls, 2))
-    assert not any(calls.advice(n).servers for n in (*members(calls, 0), *members(calls, 1)))
+    assert all(any(a.server == "n4" for a in calls.ejections(n).servers) for n in members(calls, 2))
+    assert not any(calls.ejections(n).servers for n in (*members(calls, 0), *members(calls, 1)))
 
 
 def test_a_zone_that_does_not_answer_another_zone_is_avoided_in_that_zone_only():
@@ -84,26 +84,28 @@
     fate = (  # noqa: E731
         lambda n, node, cls: AttemptStatus.TIMEOUT if n % 3 == 0 and int(node[1:]) % 3 == 1 else AttemptStatus.OK
     )
-    calls.fate = fate
+    calls.attempt_status = fate
     calls.run(4)
-    assert all(calls.advice(n).zones == (1,) for n in members(calls, 0))
-    assert not any(calls.advice(n).zones for n in (*members(calls, 1), *members(calls, 2)))
+    assert all(calls.ejections(n).zones == (1,) for n in members(calls, 0))
+    assert not any(calls.ejections(n).zones for n in (*members(calls, 1), *members(calls, 2)))
 
 
 def test_one_sidecar_with_a_bad_link_to_all_nodes_ejects_none():
     calls = settled()
-    calls.fate = lambda member, node, cls: AttemptStatus.TIMEOUT if member == 0 else AttemptStatus.OK
+    calls.attempt_status = lambda member, node, cls: AttemptStatus.TIMEOUT if member == 0 else AttemptStatus.OK
     for _ in range(20):
         calls.run(0.5)
-        assert not any(calls.advice(n).servers for n in calls.tier.nodes)
+        assert not any(calls.ejections(n).servers for n in calls.tier.nodes)
 
 
 def test_a_node_that_fails_one_class_is_ejected_for_that_class_only():
     calls = settled(classes=3)
-    calls.fate = lambda member, node, cls: AttemptStatus.ERROR if node == "n4" and cls == 2 else AttemptStatus.OK
-    assert calls.run(10, lambda: calls.avoiding("n4", 2) >= 0.9) < 10
-    assert calls.avoiding("n4") == 0.0
-    assert calls.avoiding("n4", 1) == 0.0
+    calls.attempt_status = lambda member, node, cls: (
+        AttemptStatus.ERROR if node == "n4" and cls == 2 else AttemptStatus.OK
+    )
+    assert calls.run(10, lambda: calls.ejecting_share("n4", 2) >= 0.9) < 10
+    assert calls.ejecting_share("n4") == 0.0
+    assert calls.ejecting_share("n4", 1) == 0.0
 
 
 @pytest.mark.parametrize("liars", [1, 2, 4])
@@ -113,11 +115,11 @@
     The healthy reports of members whose calls are answered outweigh theirs, for at least nine tenths of the time.
     """
     calls = settled(size=12, seed=5)
-    calls.liars = {number: tuple(calls.zone_of) for number in range(liars)}
+    calls.false_reporters = {number: tuple(calls.zone_of) for number in range(liars)}
     avoided = []
     for _ in range(40):
         calls.run(0.25)
-        avoided.append(max(len({a.server for a in calls.advice(n).servers}) for n in members(calls)))
+        avoided.append(max(len({a.server for a in calls.ejections(n).servers}) for n in members(calls)))
     assert max(avoided) <= MAX_EJECTED_FRACTION * 12
     if liars < module.MIN_REPORTERS:
         assert max(avoided) == 0
@@ -129,22 +131,22 @@
     calls.down = {f"n{i}" for i in range(0, 12, 2)}
     calls.run(5)
     for number in calls.tier.nodes:
-        assert len({a.server for a in calls.advice(number).servers}) <= MAX_EJECTED_FRACTION * 12
+        assert len({a.server for a in calls.ejections(number).servers}) <= MAX_EJECTED_FRACTION * 12
 
 
 def test_partitioned_halves_eject_independently_and_agree_after_healing():
     calls = settled()
     half, other = tuple(range(6)), tuple(range(6, 12))
     calls.play((Step(0, "link", half, other, CUT), Step(0, "link", other, half, CUT)), 0.5)
-    calls.fate = lambda member, node, cls: (
+    calls.attempt_status = lambda member, node, cls: (
         AttemptStatus.CONNECT_FAILED if node == "n4" and member < 6 else AttemptStatus.OK
     )
     calls.run(5)
-    assert {any(calls.advice(n).servers for n in half)} == {True}
-    assert not any(calls.advice(n).servers for n in other)
-    calls.fate = lambda member, node, cls: AttemptStatus.OK
+    assert {any(calls.ejections(n).servers for n in half)} == {True}
+    assert not any(calls.ejections(n).servers for n in other)
+    calls.attempt_status = lambda member, node, cls: AttemptStatus.OK
     calls.play((Step(0, "heal"),), 20)
-    assert calls.avoiding("n4") == 0.0
+    assert calls.ejecting_share("n4") == 0.0
 
 
 @pytest.mark.parametrize(
@@ -156,8 +158,8 @@
     all_members = tuple(range(12))
     calls.play((Step(0, "link", all_members, all_members, link),), 0.1)
     calls.down = {"n4"}
-    assert calls.run(15, lambda: calls.avoiding("n4") >= 0.9) < 15
-    assert {a.server for n in calls.tier.nodes for a in calls.advice(n).servers} == {"n4"}
+    assert calls.run(15, lambda: calls.ejecting_share("n4") >= 0.9) < 15
+    assert {a.server for n in calls.tier.nodes for a in calls.ejections(n).servers} == {"n4"}
 
 
 def test_members_that_restart_without_state_learn_the_ejection_again():
@@ -165,7 +167,7 @@
     calls.down = {"n4"}
     calls.run(3)
     calls.play((Step(0, "kill", tuple(range(8))), Step(0.5, "start", tuple(range(8)))), 1)
-    assert calls.run(15, lambda: calls.avoiding("n4") == 1.0) < 15
+    assert calls.run(15, lambda: calls.ejecting_share("n4") == 1.0) < 15
 
 
 def test_an_ejection_ends_when_all_reports_have_expired():
@@ -174,7 +176,7 @@
     calls.run(2)
     calls.rate = 0.0
     calls.run(REPORT_LIFETIME_NS / SECOND + 1)
-    assert all(calls.advice(n) == Ejections() for n in calls.tier.nodes)
+    assert all(calls.ejections(n) == Ejections() for n in calls.tier.nodes)
 
 
 REPORTS = st.lists(
--- a/tests/tier/test_swim.py
+++ b/tests/tier/test_swim.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from covetally.lab.tier import Tier
+from covetally.lab.tier import MembershipSimulation
 from covetally.tier import swim as module
 from covetally.tier.reports import AGE_UNIT_NS, Report, ReportKind, ReportStatus
 from covetally.tier.swim import (
@@ -24,17 +24,17 @@
 ALIVE, SUSPECTED, GONE, LEFT = State.ALIVE, State.SUSPECTED, State.GONE, State.LEFT
 
 
-def converged_tier(size: int, seed: int = 1, **more) -> Tier:
+def converged_tier(size: int, seed: int = 1, **more) -> MembershipSimulation:
     """A tier in which each member knows all others as alive."""
-    tier = Tier(size, seed, **more)
-    passed = tier.run(6 * size, lambda: all(tier.believing(n, ALIVE) == size - 1 for n in range(size)))
+    tier = MembershipSimulation(size, seed, **more)
+    passed = tier.run(6 * size, lambda: all(tier.count_views(n, ALIVE) == size - 1 for n in range(size)))
     assert passed < 6 * size, f"seed {seed}: the members never all learned of each other"
     return tier
 
 
-def until_gone(tier: Tier, member: int, share: float = 1.0, limit: float = 120) -> float:
+def until_gone(tier: MembershipSimulation, member: int, share: float = 1.0, limit: float = 120) -> float:
     there = len(tier.members) - (member in tier.members)
-    passed = tier.run(limit, lambda: tier.believing(member, GONE) >= share * there)
+    passed = tier.run(limit, lambda: tier.count_views(member, GONE) >= share * there)
     assert passed < limit, "the member was never gone for enough members"
     return passed
 
@@ -43,14 +43,14 @@
     tier = converged_tier(12)
     tier.kill(3)
     until_gone(tier, 3)
-    assert tier.wrongly_gone() == 0
+    assert tier.count_false_removals() == 0
 
 
 def test_a_member_that_announces_its_leave_has_left_and_is_not_suspected():
     tier = converged_tier(12)
     tier.leave(5)
-    assert tier.run(30, lambda: tier.believing(5, LEFT) == 11) < 30
-    assert tier.believing(5, GONE) == 0
+    assert tier.run(30, lambda: tier.count_views(5, LEFT) == 11) < 30
+    assert tier.count_views(5, GONE) == 0
 
 
 def test_a_member_restarted_without_state_is_alive_with_its_new_boot_id():
@@ -58,7 +58,7 @@
     tier.kill(4)
     until_gone(tier, 4)
     tier.start(4)
-    assert tier.run(60, lambda: tier.believing(4, ALIVE) == 11) < 60
+    assert tier.run(60, lambda: tier.count_views(4, ALIVE) == 11) < 60
     boot_id = tier.members[4].boot_id
     assert all(view.views()[4].boot_id == boot_id for view in tier.members.values())
 
@@ -70,10 +70,10 @@
     tier.run(5)
     for number in range(14):
         tier.start(number)
-    all_alive = lambda: all(tier.believing(n, ALIVE) == 19 for n in range(20))  # noqa: E731
+    all_alive = lambda: all(tier.count_views(n, ALIVE) == 19 for n in range(20))  # noqa: E731
     assert tier.run(120, all_alive) < 120
     tier.run(30)
-    assert tier.wrongly_gone() == 0
+    assert tier.count_false_removals() == 0
 
 
 def test_a_paused_process_that_resumes_suspects_no_other_and_is_alive_again():
@@ -81,42 +81,42 @@
     tier.stop(7)
     until_gone(tier, 7, share=10 / 11)
     tier.go_on(7)
-    assert tier.run(60, lambda: tier.believing(7, ALIVE) == 11) < 60
+    assert tier.run(60, lambda: tier.count_views(7, ALIVE) == 11) < 60
     assert tier.members[7].incarnation > 1, "it did not refute the suspicion"
-    assert tier.wrongly_gone() == 0
+    assert tier.count_false_removals() == 0
 
 
 @pytest.mark.parametrize("one_way", [False, True])
 def test_partitioned_halves_see_each_other_as_gone_and_recover(one_way):
     tier = converged_tier(12)
-    tier.cut = lambda sender, to: (sender < 6 <= to) or (not one_way and to < 6 <= sender)
+    tier.is_cut = lambda sender, to: (sender < 6 <= to) or (not one_way and to < 6 <= sender)
     tier.run(60)
     near = [n for n in range(6) if tier.members[0].state(n) in (ALIVE, SUSPECTED)]
     assert near == list(range(6)), "members of the same half are not all present"
     assert all(tier.members[0].state(n) is GONE for n in range(6, 12))
-    tier.cut = lambda sender, to: False
-    all_alive = lambda: all(tier.believing(n, ALIVE) == 11 for n in range(12))  # noqa: E731
+    tier.is_cut = lambda sender, to: False
+    all_alive = lambda: all(tier.count_views(n, ALIVE) == 11 for n in range(12))  # noqa: E731
     assert tier.run(60, all_alive) < 60
 
 
 def test_members_recover_after_half_of_all_datagrams_are_lost():
-    tier = converged_tier(12, lost=0.0)
-    tier.lost = 0.5
+    tier = converged_tier(12, loss_rate=0.0)
+    tier.loss_rate = 0.5
     tier.run(120)
-    tier.lost = 0.0
+    tier.loss_rate = 0.0
     tier.run(60)
-    assert tier.wrongly_gone() == 0
+    assert tier.count_false_removals() == 0
 
 
 def test_delayed_reordered_and_duplicated_datagrams_do_not_override_newer_ones():
     tier = converged_tier(12)
-    tier.delay_ns, tier.twice = (1_000_000, 5 * SECOND), 0.5
+    tier.delay_ns, tier.duplicate_rate = (1_000_000, 5 * SECOND), 0.5
     tier.run(30)
     tier.kill(2)
-    tier.delay_ns, tier.twice = (3_000_000, 21_000_000), 0.0
+    tier.delay_ns, tier.duplicate_rate = (3_000_000, 21_000_000), 0.0
     until_gone(tier, 2)
     tier.run(60)
-    assert tier.wrongly_gone() == 0
+    assert tier.count_false_removals() == 0
 
 
 def failure_report(reporter: int, member: int, incarnation: int = 1, state: State = SUSPECTED) -> Message:
@@ -151,7 +151,7 @@
             for to in range(1, 12):
                 tier.send(to, encode(failure_report(0, member, tier.members[member].incarnation, GONE)))
         tier.run(1)
-    assert tier.wrongly_gone() == 0
+    assert tier.count_false_removals() == 0
 
 
 def test_replies_to_a_peer_that_floods_are_rate_limited():
