--- a/benchmarks/caps.py
+++ b/benchmarks/caps.py
@@ -18,7 +18,7 @@
 
 from benchmarks.report import progress, show
 from covetally.caps import Mode, Rule
-from covetally.lab.caps import Play
+from covetally.lab.caps import CapSimulation
 from covetally.rig.schedule import Step, draw, save, shrink
 
 CAP = 20
@@ -30,11 +30,11 @@
     for seed in range(seeds):
         size = (4, 6, 12)[seed % 3]
         schedule = draw(seed, size, 25.0, float(CAP))
-        found = Play(Rule("x", CAP, size, mode), seed).run(schedule, 30.0)
-        over, unused = max(over, found.over), max(unused, found.unused)
-        if found.over and keep is not None:
+        found = CapSimulation(Rule("x", CAP, size, mode), seed).run(schedule, 30.0)
+        over, unused = max(over, found.excess), max(unused, found.unused)
+        if found.excess and keep is not None:
             rule = Rule("x", CAP, size, mode)
-            fails = lambda s, rule=rule, seed=seed: Play(rule, seed).run(s, 30.0).over > 0  # noqa: E731
+            fails = lambda s, rule=rule, seed=seed: CapSimulation(rule, seed).run(s, 30.0).excess > 0  # noqa: E731
             save(shrink(schedule, fails), keep / f"caps-{mode.value}-{seed}.jsonl")
     return {"plays": seeds, "most_over": over, "most_unused": unused, "cap": CAP}
 
@@ -45,7 +45,7 @@
     row: dict[str, object] = {"cap": cap}
     few, others = tuple(range(5)), tuple(range(size - 5, size))
     for name, who, each in (("few", few, float(cap)), ("all", tuple(range(size)), 1.0)):
-        play = Play(Rule("x", cap, size, mode), 1)
+        play = CapSimulation(Rule("x", cap, size, mode), 1)
         schedule = [Step(0.0, "demand", who, amount=each)]
         if name == "few":
             schedule += [Step(6.0, "demand", who), Step(6.0, "demand", others, amount=each)]
@@ -55,16 +55,16 @@
         row |= {
             f"{name}: in use at the end": sum(m.open for m in play.members),
             f"{name}: datagrams/s each": round(found.datagrams_per_s, 1),
-            f"{name}: datagrams/s of the busiest": round(found.most_datagrams_per_s, 1),
+            f"{name}: datagrams/s of the busiest": round(found.max_datagrams_per_s, 1),
             f"{name}: CPU us/s each": round(cpu * 1e6),
         }
         if name == "few":
-            row["moved 90 % after s"] = found.moved_s
+            row["moved 90 % after s"] = found.shift_s
     row["whole by equal parts, all want"] = size * (cap // size)
     return row
 
 
-def found_s(play: Play) -> float:
+def found_s(play: CapSimulation) -> float:
     """Seconds that a play took on its own clock."""
     return play.now / 1e9 - 1.0
 
--- a/benchmarks/storm.py
+++ b/benchmarks/storm.py
@@ -19,9 +19,9 @@
 
 from benchmarks.report import progress, show
 from covetally.interface import Settings
-from covetally.lab.fleet import ClassLoad, Fleet, NodeShape
-from covetally.lab.fleet import Plan as LabPlan
-from covetally.lab.line import Lined
+from covetally.lab.fleet import ClassLoad, FleetSimulation, NodeShape
+from covetally.lab.fleet import FleetConfig
+from covetally.lab.overload import OverloadSimulation
 from covetally.rig import site
 from covetally.rig.storm import Storm, play
 from covetally.rig.world import Shape, World
@@ -52,8 +52,10 @@
     classes = tuple(ClassLoad(i, c.share, work[c.name]) for i, c in enumerate(site.LOAD_CLASSES))
     steps = ((0.0, 250 * scale), (6.0, 625 * scale), (26.0, 250 * scale))
     nodes = tuple(NodeShape(4, zone=i % 3) for i in range(round(NODES * scale)))
-    fleet = Fleet(LabPlan(34.0, steps, classes, nodes, size, seed, honour=0.3), settings)
-    lined = Lined(fleet) if on else None
+    fleet = FleetSimulation(
+        FleetConfig(34.0, steps, classes, nodes, size, seed, retry_after_compliance=0.3), settings
+    )
+    lined = OverloadSimulation(fleet) if on else None
     books = fleet.run()
 
     def rate(what: str, begin: float = 12, end: float = 26) -> float:
@@ -74,7 +76,7 @@
     if lined is not None:
         samples = [near for at, near, _ in lined.samples if 8 <= at < 26]
         row["near_the_same_rung"] = round(sum(samples) / len(samples), 3)
-        row["words_s_each"] = round(lined.said / 34.0 / size, 2)
+        row["words_s_each"] = round(lined.sent / 34.0 / size, 2)
     return row
 
 
--- a/covetally/lab/__init__.py
+++ b/covetally/lab/__init__.py
@@ -1,1 +1,1 @@
-"""This project's decisions in virtual time: models round the real decision modules. Never a shell."""
+"""Simulations in virtual time: the real decision modules with a modelled environment, without any I/O."""
--- a/covetally/lab/cold.py
+++ b/covetally/lab/cold.py
@@ -19,7 +19,7 @@
 from collections import deque
 from dataclasses import dataclass
 
-from covetally.lab.fleet import MS, SECOND, Books, ClassLoad, Fleet, NodeShape, Plan
+from covetally.lab.fleet import MS, SECOND, ClassLoad, FleetConfig, FleetCounts, FleetSimulation, NodeShape
 from covetally.rig.account import cold_most
 from covetally.rig.site import settings as site_settings
 from covetally.interface import Settings
@@ -52,7 +52,7 @@
     return cold_most(invariants.overload_multiple * slots * warmth * invariants.overload_window_ns, mean_ns)
 
 
-def find_worst_window(fleet: Fleet, books: Books) -> OverloadWindow:
+def find_worst_window(fleet: FleetSimulation, counts: FleetCounts) -> OverloadWindow:
     """Return the window with the highest load ratio, over all nodes that start cold."""
     worst = OverloadWindow(0.0, 1.0, 0.0)
     window_ns = fleet.settings.invariants.overload_window_ns
@@ -62,7 +62,7 @@
         window: deque[tuple[int, int]] = deque()
         work = 0
         start, end = node.shape.started_s, node.shape.started_s + node.shape.cold_s
-        for at, cost in books.arrivals.get(node.number, ()):
+        for at, cost in counts.arrivals.get(node.number, ()):
             if not start <= at / SECOND <= end:
                 continue
             window.append((at, cost))
@@ -77,8 +77,8 @@
 
 def play(
     sidecars: int, nodes: int, cold: int, load: float, seed: int, cold_from: float = 0.1
-) -> tuple[OverloadWindow, Books]:
-    """Simulate 10 s in which `cold` of the nodes start cold at second 2; return the worst window and the books.
+) -> tuple[OverloadWindow, FleetCounts]:
+    """Simulate 10 s in which `cold` of the nodes start cold at second 2; return the worst window and the counts.
 
     All sidecars know when these nodes started. `load` is the request rate as a share of the capacity of all
     nodes when warm, and `cold_from` the warmth at which a node starts.
@@ -89,7 +89,9 @@
         NodeShape(SLOTS, zone=i % 3, cold_from=cold_from, cold_s=8.0, started_s=2.0 if i < cold else -1.0)
         for i in range(nodes)
     )
-    plan = Plan(10.0, ((0.0, load * total_capacity),), (ClassLoad(0, 1.0, WORK_MS),), shapes, sidecars, seed)
-    fleet = Fleet(plan, settings)
-    books = fleet.run()
-    return find_worst_window(fleet, books), books
+    config = FleetConfig(
+        10.0, ((0.0, load * total_capacity),), (ClassLoad(0, 1.0, WORK_MS),), shapes, sidecars, seed
+    )
+    fleet = FleetSimulation(config, settings)
+    counts = fleet.run()
+    return find_worst_window(fleet, counts), counts
--- a/tests/caps/test_units.py
+++ b/tests/caps/test_units.py
@@ -17,7 +17,7 @@
 from covetally.caps.messages import CapsMessage, MessageKind, decode, encode
 from covetally.caps.rule import MAX_OWNERS, rank_owners
 from covetally.interface import SECOND
-from covetally.lab.caps import Play
+from covetally.lab.caps import CapSimulation
 from covetally.rig.schedule import Link, Schedule, Step, draw
 from covetally.gossip import MalformedMessageError
 
@@ -420,31 +420,31 @@
 def test_demand_that_moves_gets_nine_tenths_of_the_cap_within_a_second(mode, size):
     """Half of that second is the time after which connections left open elsewhere count as idle."""
     few, others = range(5), range(size - 5, size)
-    play = Play(Rule("x", 20, size, mode), SEED)
+    play = CapSimulation(Rule("x", 20, size, mode), SEED)
     found = play.run((set_demand(few, 20.0), set_demand(few, 0.0, 6.0), set_demand(others, 20.0, 6.0)), 9.0)
     assert sum(member.open for member in play.members[-5:]) == 20
-    assert 0 < found.moved_s <= 1.0, SEED
+    assert 0 < found.shift_s <= 1.0, SEED
 
 
 @pytest.mark.parametrize("mode", Mode)
 @pytest.mark.parametrize("size, cap, members", [(60, 20, range(5)), (60, 20, range(60)), (24, 200, range(3))])
 def test_whole_cap_is_usable_and_moves_with_the_demand(mode, size, cap, members):
-    play = Play(Rule("x", cap, size, mode), SEED + 1)
+    play = CapSimulation(Rule("x", cap, size, mode), SEED + 1)
     others = range(size - len(members), size) if len(members) < size else members
     schedule = (set_demand(members, cap), set_demand(members, 0, 6.0), set_demand(others, cap, 6.0))
     found = play.run(schedule, 11.0)
-    assert found.over == 0
+    assert found.excess == 0
     assert sum(member.open for member in play.members) >= 0.9 * cap
-    assert found.moved_s < 2.5
-    assert found.most_datagrams_per_s < 80
+    assert found.shift_s < 2.5
+    assert found.max_datagrams_per_s < 80
 
 
 @pytest.mark.parametrize("mode", Mode)
 @pytest.mark.parametrize("seed", range(12))
 def test_random_schedules_of_faults_never_exceed_a_cap(mode, seed):
     size = (4, 6, 12)[seed % 3]
-    found = Play(Rule("x", 20, size, mode), SEED + seed).run(draw(SEED + seed, size, 16.0, 20.0), 20.0)
-    assert found.over == 0, f"seed {SEED + seed}"
+    found = CapSimulation(Rule("x", 20, size, mode), SEED + seed).run(draw(SEED + seed, size, 16.0, 20.0), 20.0)
+    assert found.excess == 0, f"seed {SEED + seed}"
     assert found.unused <= 2, f"seed {SEED + seed}"
 
 
@@ -458,12 +458,12 @@
 
 @pytest.mark.parametrize("mode", Mode)
 def test_holder_stopped_past_its_lease_closes_connections_it_lost_before_it_opens_new_ones(mode):
-    found = Play(Rule("x", 20, 6, mode), SEED + 3).run(stopped_past_its_lease(), 24.0)
-    assert found.over == 0
+    found = CapSimulation(Rule("x", 20, 6, mode), SEED + 3).run(stopped_past_its_lease(), 24.0)
+    assert found.excess == 0
 
 
 def test_member_that_leaves_returns_its_units_at_once():
-    play = Play(Rule("x", 20, 6, Mode.NEVER), SEED + 2)
+    play = CapSimulation(Rule("x", 20, 6, Mode.NEVER), SEED + 2)
     schedule = (set_demand(range(1), 20), Step(3.0, "leave", (0,)), set_demand(range(1, 2), 20, 3.0))
     play.run(schedule, 4.0)
     owned = play.rule.owned_units(0)
@@ -514,4 +514,4 @@
         set_demand(range(1), 20), Step(3.0, "kill", (1, 2, 3, 4, 5)), set_demand(range(1, 6), 20, 3.1),
         Step(3.2, "start", (1, 2, 3, 4, 5)),
     ))  # fmt: skip
-    assert any(Play(Rule("x", 20, 6), 5).run(schedule, 20.0).over > 0 for schedule in schedules)
+    assert any(CapSimulation(Rule("x", 20, 6), 5).run(schedule, 20.0).excess > 0 for schedule in schedules)
--- a/tests/lab/test_cold.py
+++ b/tests/lab/test_cold.py
@@ -6,15 +6,15 @@
 
 from covetally.interface import Settings
 from covetally.lab.cold import OverloadWindow, find_worst_window, overload_work_ns, play
-from covetally.lab.fleet import MS, SECOND, Books, ClassLoad, Fleet, NodeShape, Plan
+from covetally.lab.fleet import MS, SECOND, ClassLoad, FleetConfig, FleetCounts, FleetSimulation, NodeShape
 from covetally.rig.site import settings
 
 
 @pytest.mark.parametrize("sidecars, cold", [(60, 1), (60, 5), (200, 5)])
 def test_all_sidecars_together_do_not_overload_a_cold_node(sidecars, cold):
-    found, books = play(sidecars, 10, cold, 0.7, seed=4)
+    found, counts = play(sidecars, 10, cold, 0.7, seed=4)
     assert 0.0 < found.load_ratio < 0.6
-    assert books.total("asked") > 5_000
+    assert counts.total("asked") > 5_000
 
 
 def test_the_load_on_a_cold_node_does_not_grow_with_the_number_of_sidecars():
@@ -30,11 +30,11 @@
     """
     config = Settings.parse(settings(0, 4, 0.1, 8000))
     shapes = (NodeShape(4, cold_from=0.1, cold_s=8.0, started_s=0.0),)
-    fleet = Fleet(Plan(1.0, ((0.0, 1.0),), (ClassLoad(0, 1.0, 40.0),), shapes, 1), config)
+    fleet = FleetSimulation(FleetConfig(1.0, ((0.0, 1.0),), (ClassLoad(0, 1.0, 40.0),), shapes, 1), config)
     assert overload_work_ns(config, 4, 0.1, 40 * MS) == pytest.approx((60 + 2 * 60**0.5 + 2) * 40 * MS)
-    books = Books()
-    books.arrivals[0] = [(i * SECOND // count, 40 * MS) for i in range(count)]
-    found = find_worst_window(fleet, books)
+    counts = FleetCounts()
+    counts.arrivals[0] = [(i * SECOND // count, 40 * MS) for i in range(count)]
+    found = find_worst_window(fleet, counts)
     assert isinstance(found, OverloadWindow)
     assert (found.load_ratio >= 1.0) is overloaded
 
--- a/tests/overload/test_fleet.py
+++ b/tests/overload/test_fleet.py
@@ -5,8 +5,8 @@
 import pytest
 
 from covetally.interface import Settings
-from covetally.lab.fleet import SECOND, Books, ClassLoad, Fleet, NodeShape, Plan
-from covetally.lab.line import Lined, changed
+from covetally.lab.fleet import SECOND, ClassLoad, FleetConfig, FleetCounts, FleetSimulation, NodeShape
+from covetally.lab.overload import OverloadSimulation, altered_message
 from covetally.overload.line import Line
 from covetally.rig import site
 from covetally.rig.schedule import Link, Schedule, Step
@@ -23,22 +23,22 @@
     settings = Settings.parse(site.settings(0, SIZE, 0.25, 8000))
     steps = ((0.0, 200.0), (5.0, high), (13.0, 200.0))
     nodes = tuple(NodeShape(4, zone=i % 3) for i in range(NODES))
-    fleet = Fleet(Plan(18.0, steps, classes, nodes, SIZE, seed), settings)
-    lined = Lined(fleet, lies=lies) if line else None
+    fleet = FleetSimulation(FleetConfig(18.0, steps, classes, nodes, SIZE, seed), settings)
+    lined = OverloadSimulation(fleet, forgers=lies) if line else None
     if lined is not None:
         lined.play(schedule)
     if dead:
-        fleet.at(7.0, lambda: setattr(fleet.nodes[0], "slow", 3.0))
-        fleet.at(10.0, lambda: setattr(fleet.nodes[0], "slow", 1.0))
+        fleet.call_at(7.0, lambda: setattr(fleet.nodes[0], "slowdown", 3.0))
+        fleet.call_at(10.0, lambda: setattr(fleet.nodes[0], "slowdown", 1.0))
     return fleet.run(), lined
 
 
-def in_time(books: Books, begin: float = 8, end: float = 13) -> float:
+def in_time(books: FleetCounts, begin: float = 8, end: float = 13) -> float:
     """First tries and retries in time a second, of what nodes can do."""
     return books.total("in_time", begin, end) / (end - begin) / CAN_DO
 
 
-def back(books: Books) -> float:
+def back(books: FleetCounts) -> float:
     """Share in time of those due in the last two seconds."""
     return books.total("due_in_time", 16, 18) / books.total("asked", 16, 18)
 
@@ -80,7 +80,7 @@
 @pytest.mark.parametrize("ratio", [0.0, 25.0])
 def test_one_that_lies_neither_opens_the_line_nor_raises_it(ratio):
     def lie(now, word):
-        return changed(word, ratio=ratio, weight=60_000, rung=0 if ratio == 0.0 else 24)
+        return altered_message(word, ratio=ratio, weight=60_000, rung=0 if ratio == 0.0 else 24)
 
     books, lined = play(lies={3: lie})
     assert in_time(books) > 0.85
@@ -93,7 +93,7 @@
     """All that one of them sees is late: its zone's link, not the fleet."""
 
     def lie(now, word):
-        return changed(word, ratio=9.0, weight=20)
+        return altered_message(word, ratio=9.0, weight=20)
 
     books, lined = play(lies={5: lie}, high=200.0)
     assert {rung for _, _, rung in lined.samples} == {0}
@@ -107,7 +107,7 @@
 
 def test_words_do_not_grow_with_the_fleet():
     _, lined = play()
-    assert lined.said / 18.0 <= 16 * 4 + 1
+    assert lined.sent / 18.0 <= 16 * 4 + 1
 
 
 @pytest.mark.parametrize("fault", ["up", "median", "settle"])
@@ -119,7 +119,7 @@
     elif fault == "median":
         loudest = lambda votes: (max(v.seen.ratio for v in votes), 99.0)  # noqa: E731
         monkeypatch.setattr("covetally.overload.line.load_of", loudest)
-        _, lined = play(lies={5: lambda now, word: changed(word, ratio=9.0, weight=20)}, high=200.0)
+        _, lined = play(lies={5: lambda now, word: altered_message(word, ratio=9.0, weight=20)}, high=200.0)
         assert {rung for _, _, rung in lined.samples} != {0}
     else:
         monkeypatch.setattr("covetally.overload.line.SINCE_NS", -(10 * SECOND))
--- a/tests/tier/test_limits.py
+++ b/tests/tier/test_limits.py
@@ -23,7 +23,8 @@
 def seeds_over_limit(rule: Rule, seeds: range) -> list[int]:
     """The seeds whose schedules exceeded the limit."""
     return [seed for seed in seeds
-            if play(draw(seed, rule.members, SECONDS, rule.amount), seed, rule, SECONDS).overshoot > 1e-6]  # fmt: skip
+            if play(draw(seed, rule.members, SECONDS, rule.amount), seed, rule, SECONDS).overshoot
+            > 1e-6]  # fmt: skip
 
 
 @pytest.mark.parametrize("rule", [RULE, CALLS], ids=lambda rule: rule.name)
