--- a/covetally/websocket/hub.py
+++ b/covetally/websocket/hub.py
@@ -1,7 +1,7 @@
 """All WebSockets of a sidecar: from the handshake that a client asks for to the end of each socket.
 
-Nothing is decided here: `policy` says who may open and who closes when, `life` which side is gone, the balancer
-which node a handshake goes to. This carries it out.
+Nothing is decided here: `policy` says who may open and who closes when, `liveness` which side is gone, the
+balancer which node a handshake goes to. This carries it out.
 """
 
 from __future__ import annotations
--- a/covetally/websocket/relay.py
+++ b/covetally/websocket/relay.py
@@ -37,7 +37,7 @@
     close,
     control,
 )
-from covetally.websocket.life import CLIENT, NODE, Life, Patience, Verdict
+from covetally.websocket.liveness import CLIENT, NODE, Liveness, LivenessTimeouts, LivenessEvent
 
 RECEIVE = 64 * 1024  # one read
 OWN = b"cs"  # pings of ours begin so
@@ -74,7 +74,7 @@
     frames_per_s: float
     buffer: int  # bytes that may wait for a side before the other is not read any more
     close_s: float
-    patience: Patience
+    patience: LivenessTimeouts
 
 
 class _Side:
@@ -112,8 +112,8 @@
     nothing for too long."""
 
     __slots__ = (
-        "_close_at", "_hung", "_life", "_look_at", "_loop", "_terms", "_timer", "_wheel", "ended", "id", "node",
-        "sides", "state", "tenant", "why",
+        "_close_at", "_hung", "_liveness", "_look_at", "_loop", "_terms", "_timer", "_wheel", "ended", "id",
+        "node", "sides", "state", "tenant", "why",
     )  # fmt: skip
 
     def __init__(
@@ -127,7 +127,7 @@
         self.ended, self._hung = ended, hung
         self.state, self.why = State.OPEN, ""
         now = self._loop.time()
-        self._life = Life(terms.patience, luck, now)
+        self._liveness = Liveness(terms.patience, luck, now)
         burst = terms.frames_per_s * RATE_BURST_S
         self.sides = (
             _Side(CLIENT, client[0], terms.limits, burst, now), _Side(NODE, server[0], terms.limits, burst, now)
@@ -148,7 +148,7 @@
         """Have a timer for whatever comes first; one that comes too early looks again."""
         if self.state is State.ENDED:
             return
-        at = self._close_at or self._life.next(self._loop.time())
+        at = self._close_at or self._liveness.next_check_at(self._loop.time())
         if self._timer is not None:
             if self._look_at <= at:
                 return
@@ -165,21 +165,21 @@
             else:
                 self._wait()
             return
-        for number, verdict in self._life.look(now):
+        for number, verdict in self._liveness.check(now):
             if self.state is not State.OPEN:
                 return
             self._judge(number, verdict)
         self._wait()
 
-    def _judge(self, number: int, verdict: Verdict) -> None:
+    def _judge(self, number: int, verdict: LivenessEvent) -> None:
         side = self.sides[number]
-        if verdict is Verdict.PING:
+        if verdict is LivenessEvent.PING:
             payload = OWN + os.urandom(6)
             side.frames.own.add(payload)
             self._say(side, control(PING, payload, number == NODE))
-        elif verdict is Verdict.IDLE:
+        elif verdict is LivenessEvent.IDLE:
             self.close("idle", GOING_AWAY, GOING_AWAY, "nothing was said for too long")
-        elif verdict is Verdict.SLOW:
+        elif verdict is LivenessEvent.SLOW:
             if number == CLIENT:
                 self.close("slow client", POLICY, GOING_AWAY, "too slow a reader")
             else:
@@ -235,7 +235,7 @@
             else:
                 self.close("node at fault", INTERNAL, violation.code, violation.reason)
             return
-        self._life.heard(side.number, self._loop.time(), got.messages > 0)
+        self._liveness.record_input(side.number, self._loop.time(), got.messages > 0)
         if got.frames and self._terms.frames_per_s and not self._within_rate(side, got.frames):
             self.close(f"{'client' if side.number == CLIENT else 'node'} too fast",
                        *((POLICY, GOING_AWAY) if side.number == CLIENT else (INTERNAL, POLICY)),
@@ -256,7 +256,7 @@
             self._send(other, owed)
         if other.waiting > self._terms.buffer and side.reading:
             self._read(side, False)
-            self._life.read(side.number, self._loop.time(), False)
+            self._liveness.set_reading(side.number, self._loop.time(), False)
 
     def _within_rate(self, side: _Side, frames: int) -> bool:
         now, rate = self._loop.time(), self._terms.frames_per_s
@@ -280,7 +280,7 @@
             if count == len(data):
                 return
             data = data[count:]
-            self._life.waits(side.number, self._loop.time(), True)
+            self._liveness.record_output(side.number, self._loop.time(), True)
             told = self._writable_client if side.number == CLIENT else self._writable_node
             self._loop.add_writer(side.fd, told)
             side.writing = True
@@ -317,14 +317,14 @@
             self._lose(side)
             return
         now = self._loop.time()
-        self._life.waits(side.number, now, bool(side.out))
+        self._liveness.record_output(side.number, now, bool(side.out))
         if not side.out:
             self._loop.remove_writer(side.fd)
             side.writing = False
         other = self.sides[1 - side.number]
         if side.waiting <= self._terms.buffer // 2 and not other.reading and not other.lost:
             self._read(other, True)
-            self._life.read(other.number, now, True)
+            self._liveness.set_reading(other.number, now, True)
         if self.state is State.CLOSING:
             self._settle()
 
@@ -446,8 +446,8 @@
     @property
     def node_heard_at(self) -> float:
         """When the node last sent something here, on the loop's clock."""
-        return self._life.sides[NODE].heard_at
+        return self._liveness.sides[NODE].last_frame_at
 
     def silent_s(self) -> float:
         """For how long the quieter side has said nothing."""
-        return self._life.silent_s(self._loop.time())
+        return self._liveness.silent_s(self._loop.time())
--- a/covetally/websocket/settings.py
+++ b/covetally/websocket/settings.py
@@ -8,7 +8,7 @@
 from covetally.interface import SECOND, Settings
 from covetally.operator.check import OperatorError, Problem
 from covetally.operator.schema import Value
-from covetally.websocket.life import Patience
+from covetally.websocket.liveness import LivenessTimeouts
 from covetally.websocket.policy import Bounds
 
 KIB = 1024
@@ -32,7 +32,7 @@
 
     bounds: Bounds
     per_node: int
-    patience: Patience
+    patience: LivenessTimeouts
     max_frame: int
     max_message: int
     frames_per_s: float
@@ -78,7 +78,7 @@
             number("rebalance_per_s", 0.0),
         ),
         int(number("per_node", 0)),
-        Patience(number("ping_s", 20.0), number("pong_s", 10.0), number("slow_s", 10.0), idle_s),
+        LivenessTimeouts(number("ping_s", 20.0), number("pong_s", 10.0), number("slow_s", 10.0), idle_s),
         int(number("max_frame_kib", 1024)) * KIB,
         int(number("max_message_kib", 4096)) * KIB,
         number("frames_per_s", 1000.0),
--- a/tests/websocket/test_parts.py
+++ b/tests/websocket/test_parts.py
@@ -10,7 +10,7 @@
 
 from covetally.net.http_message import Malformed, RequestHead, ResponseHead
 from covetally.websocket import handshake
-from covetally.websocket.life import CLIENT, NODE, Life, Patience, Verdict
+from covetally.websocket.liveness import CLIENT, NODE, Liveness, LivenessTimeouts, LivenessEvent
 from covetally.websocket.policy import Bounds, Policy
 
 KEY = b"dGhlIHNhbXBsZSBub25jZQ=="  # of RFC 6455, 1.3
@@ -186,35 +186,35 @@
     assert not one.stalled(5.0, "n1", False), "counted anew"
 
 
-# --- life -----------------------------------------------------------------------------------------
+# --- liveness -------------------------------------------------------------------------------------
 
 
-def test_a_silent_side_is_asked_and_then_given_up_and_one_that_speaks_is_not():
-    life = Life(Patience(10.0, 4.0, 5.0, 0.0), 0.0, 100.0)
-    assert life.look(109.9) == []
-    assert life.look(110.0) == [(CLIENT, Verdict.PING), (NODE, Verdict.PING)]
-    life.heard(CLIENT, 111.0, False)
-    assert life.next(111.0) == 114.0
-    assert life.look(114.0) == [(NODE, Verdict.STALLED)]
+def test_only_a_side_that_leaves_a_ping_unanswered_is_stalled():
+    liveness = Liveness(LivenessTimeouts(10.0, 4.0, 5.0, 0.0), 0.0, 100.0)
+    assert liveness.check(109.9) == []
+    assert liveness.check(110.0) == [(CLIENT, LivenessEvent.PING), (NODE, LivenessEvent.PING)]
+    liveness.record_input(CLIENT, 111.0, False)
+    assert liveness.next_check_at(111.0) == 114.0
+    assert liveness.check(114.0) == [(NODE, LivenessEvent.STALLED)]
 
 
-def test_who_is_not_read_is_not_asked_and_who_takes_nothing_is_slow():
-    life = Life(Patience(10.0, 4.0, 5.0, 0.0), 0.0, 0.0)
-    life.waits(CLIENT, 1.0, True)
-    life.read(NODE, 1.0, False)
-    assert life.look(6.0) == [(CLIENT, Verdict.SLOW)]
-    life.waits(CLIENT, 6.0, False)
-    life.heard(CLIENT, 6.0, False)
-    assert life.look(15.0) == []
-    life.read(NODE, 15.0, True)
-    assert (NODE, Verdict.PING) not in life.look(24.0)
-    assert (NODE, Verdict.PING) in life.look(25.0)
+def test_a_paused_side_is_not_pinged_and_a_blocked_side_is_slow():
+    liveness = Liveness(LivenessTimeouts(10.0, 4.0, 5.0, 0.0), 0.0, 0.0)
+    liveness.record_output(CLIENT, 1.0, True)
+    liveness.set_reading(NODE, 1.0, False)
+    assert liveness.check(6.0) == [(CLIENT, LivenessEvent.SLOW)]
+    liveness.record_output(CLIENT, 6.0, False)
+    liveness.record_input(CLIENT, 6.0, False)
+    assert liveness.check(15.0) == []
+    liveness.set_reading(NODE, 15.0, True)
+    assert (NODE, LivenessEvent.PING) not in liveness.check(24.0)
+    assert (NODE, LivenessEvent.PING) in liveness.check(25.0)
 
 
-def test_idle_counts_messages_and_not_pings():
-    life = Life(Patience(10.0, 4.0, 5.0, 30.0), 0.0, 0.0)
-    life.heard(CLIENT, 25.0, False)
-    life.heard(NODE, 25.0, False)
-    assert life.look(30.0) == [(CLIENT, Verdict.IDLE)]
-    life.heard(NODE, 30.0, True)
-    assert Verdict.IDLE not in [verdict for _, verdict in life.look(59.0)]
+def test_idle_timeout_counts_messages_and_not_control_frames():
+    liveness = Liveness(LivenessTimeouts(10.0, 4.0, 5.0, 30.0), 0.0, 0.0)
+    liveness.record_input(CLIENT, 25.0, False)
+    liveness.record_input(NODE, 25.0, False)
+    assert liveness.check(30.0) == [(CLIENT, LivenessEvent.IDLE)]
+    liveness.record_input(NODE, 30.0, True)
+    assert LivenessEvent.IDLE not in [event for _, event in liveness.check(59.0)]
--- a/tests/websocket/test_sockets.py
+++ b/tests/websocket/test_sockets.py
@@ -12,7 +12,7 @@
 
 from covetally.interface import Settings
 from covetally.websocket.hub import Hub
-from covetally.websocket.life import Patience
+from covetally.websocket.liveness import LivenessTimeouts
 from covetally.websocket.policy import Bounds
 from covetally.websocket.settings import Plan, Route
 from tests.loopback import response, respond_ok, sidecar_harness, request
@@ -84,7 +84,7 @@
         for known in (bounds, patience):
             known.update({k: v for k, v in changes.items() if k in known})
         plan = Plan(
-            Bounds(**bounds), 0, Patience(**patience), 1 << 20, 1 << 22, 1000.0, 65536, 1.0,
+            Bounds(**bounds), 0, LivenessTimeouts(**patience), 1 << 20, 1 << 22, 1000.0, 65536, 1.0,
             (Route("", -1, -1, 10**12, patience["idle_s"]),),
         )  # fmt: skip
         here.hub = here.frontend.upgrades = Hub(plan, config, here.sidecar, 1)
