--- a/covetally/websocket/hub.py
+++ b/covetally/websocket/hub.py
@@ -84,11 +84,11 @@
 
     def wants(self, head: RequestHead) -> bool:
         """Whether a request with an Upgrade is one for us."""
-        return handshake.asks(head)
+        return handshake.is_websocket_request(head)
 
     def begin(self, head: RequestHead) -> Upgrade:
         """A handshake as it is to go on; Malformed if it must not."""
-        asked, headers = handshake.read(head)
+        asked, headers = handshake.parse_request(head)
         fields = head.fields
         route = self._plan.route(head.target.decode("latin-1"))
         number, cls = self._classes.get(fields.get(b"x-qos", b""), (route.cls, None))
@@ -143,7 +143,7 @@
             raise AssertionError("a socket without a place")
         asked.admitted = False
         plan = self._plan
-        rsv1, rsv = asked.handshake.agreed(answer.headers)
+        rsv1, rsv = asked.handshake.allowed_reserved_bits(answer.headers)
         terms = Terms(
             Limits(plan.max_frame, plan.max_message, rsv1, rsv), plan.frames_per_s, plan.buffer, plan.close_s,
             replace(plan.patience, idle_s=asked.route.idle_s),
--- a/covetally/websocket/relay.py
+++ b/covetally/websocket/relay.py
@@ -37,7 +37,7 @@
     close,
     control,
 )
-from covetally.websocket.liveness import CLIENT, NODE, Liveness, LivenessTimeouts, LivenessEvent
+from covetally.websocket.liveness import CLIENT, NODE, Liveness, LivenessEvent, LivenessTimeouts
 
 RECEIVE = 64 * 1024  # one read
 OWN = b"cs"  # pings of ours begin so
--- a/tests/websocket/test_parts.py
+++ b/tests/websocket/test_parts.py
@@ -1,4 +1,4 @@
-"""The decisions on sockets: handshakes, who may open, who closes when, who is gone."""
+"""Tests of the WebSocket parts that do no I/O: handshakes, the connection policy and liveness checks."""
 
 from __future__ import annotations
 
@@ -10,24 +10,26 @@
 
 from covetally.net.http_message import Malformed, RequestHead, ResponseHead
 from covetally.websocket import handshake
-from covetally.websocket.liveness import CLIENT, NODE, Liveness, LivenessTimeouts, LivenessEvent
+from covetally.websocket.liveness import CLIENT, NODE, Liveness, LivenessEvent, LivenessTimeouts
 from covetally.websocket.policy import Bounds, Policy
 
 KEY = b"dGhlIHNhbXBsZSBub25jZQ=="  # of RFC 6455, 1.3
-ASK = [
+REQUEST_HEADERS = [
     (b"host", b"app"), (b"upgrade", b"websocket"), (b"connection", b"keep-alive, Upgrade"),
     (b"sec-websocket-key", KEY), (b"sec-websocket-version", b"13"),
     (b"sec-websocket-protocol", b"loans, moves"), (b"sec-websocket-extensions", b"permessage-deflate; a=1"),
 ]  # fmt: skip
 
 
-def head(*change: tuple[bytes, bytes | None], method: bytes = b"GET") -> RequestHead:
+def request_head(*change: tuple[bytes, bytes | None], method: bytes = b"GET") -> RequestHead:
     names = {name for name, _ in change}
-    headers = [pair for pair in ASK if pair[0] not in names] + [pair for pair in change if pair[1] is not None]
+    headers = [pair for pair in REQUEST_HEADERS if pair[0] not in names] + [
+        pair for pair in change if pair[1] is not None
+    ]
     return RequestHead(method, b"/live", headers, dict(headers))
 
 
-def answer(*change: tuple[bytes, bytes | None]) -> ResponseHead:
+def response_head(*change: tuple[bytes, bytes | None]) -> ResponseHead:
     base = [(b"upgrade", b"WebSocket"), (b"connection", b"upgrade"),
             (b"sec-websocket-accept", b"s3pPLMBiTxaQ9kYGzzhZRbK+xOo=")]  # fmt: skip
     names = {name for name, _ in change}
@@ -35,14 +37,14 @@
     return ResponseHead(101, headers, dict(headers))
 
 
-def test_a_handshake_of_the_form_goes_on_whole():
-    asked, headers = handshake.read(head())
-    assert (asked.protocols, asked.extensions) == ((b"loans", b"moves"), (b"permessage-deflate",))
+def test_a_valid_handshake_is_forwarded_with_all_its_headers():
+    parsed, headers = handshake.parse_request(request_head())
+    assert (parsed.protocols, parsed.extensions) == ((b"loans", b"moves"), (b"permessage-deflate",))
     assert {(b"sec-websocket-key", KEY), (b"connection", b"Upgrade")} <= set(headers)
     assert (b"upgrade", b"websocket") in headers
     assert (b"sec-websocket-extensions", b"permessage-deflate; a=1") in headers
     deflate = (b"sec-websocket-extensions", b"permessage-deflate")
-    asked.check(answer((b"sec-websocket-protocol", b"moves"), deflate))
+    parsed.check(response_head((b"sec-websocket-protocol", b"moves"), deflate))
 
 
 @pytest.mark.parametrize("status,change", [
@@ -52,19 +54,19 @@
     (400, (b"transfer-encoding", b"chunked")), (400, (b"sec-websocket-protocol", b"a, a")),
     (400, (b"sec-websocket-protocol", b"a b")),
 ])  # fmt: skip
-def test_a_handshake_that_is_none_is_told_so(status, change):
-    with pytest.raises(handshake.Refused) as found:
-        handshake.read(head(change))
+def test_an_invalid_handshake_is_rejected_with_its_status(status, change):
+    with pytest.raises(handshake.HandshakeRejected) as found:
+        handshake.parse_request(request_head(change))
     assert found.value.status == status
     if status == 426:
         assert (b"sec-websocket-version", b"13") in found.value.headers
 
 
-def test_a_handshake_by_post_or_with_two_keys_is_none():
-    with pytest.raises(handshake.Refused):
-        handshake.read(head(method=b"POST"))
-    with pytest.raises(handshake.Refused):
-        handshake.read(head((b"sec-websocket-key", KEY), (b"sec-websocket-key", KEY)))
+def test_a_handshake_by_post_or_with_two_keys_is_rejected():
+    with pytest.raises(handshake.HandshakeRejected):
+        handshake.parse_request(request_head(method=b"POST"))
+    with pytest.raises(handshake.HandshakeRejected):
+        handshake.parse_request(request_head((b"sec-websocket-key", KEY), (b"sec-websocket-key", KEY)))
 
 
 @pytest.mark.parametrize("change", [
@@ -72,10 +74,10 @@
     (b"sec-websocket-accept", None), (b"sec-websocket-protocol", b"other"),
     (b"sec-websocket-protocol", b"loans, moves"), (b"sec-websocket-extensions", b"permessage-deflate, x-odd"),
 ])  # fmt: skip
-def test_an_answer_that_was_not_asked_for_is_refused(change):
-    asked, _ = handshake.read(head())
+def test_a_101_that_does_not_answer_the_handshake_is_refused(change):
+    parsed, _ = handshake.parse_request(request_head())
     with pytest.raises(Malformed):
-        asked.check(answer(change))
+        parsed.check(response_head(change))
 
 
 # --- policy ---------------------------------------------------------------------------------------
