--- a/covetally/websocket/hub.py
+++ b/covetally/websocket/hub.py
@@ -20,7 +20,7 @@
 from covetally.net.sidecar import RequestInfo, Sidecar
 from covetally.net.timer_wheel import Timer
 from covetally.websocket import handshake
-from covetally.websocket.frames import GOING_AWAY, RESTART, Limits
+from covetally.websocket.frames import GOING_AWAY, SERVICE_RESTART, Limits
 from covetally.websocket.policy import Policy
 from covetally.websocket.relay import FAULTS, Ending, Relay, State, Terms
 from covetally.websocket.settings import Plan, Route
@@ -29,10 +29,10 @@
 
 REBALANCE_S = 0.25  # how often the balance is looked at, where it is
 REASONS = {
-    "drain": (RESTART, GOING_AWAY, "the node is leaving"),
-    "gone": (RESTART, GOING_AWAY, "the node has left"),
-    "moved": (RESTART, GOING_AWAY, "moved to another node"),
-    "rebalance": (RESTART, GOING_AWAY, "moved to another node"),
+    "drain": (SERVICE_RESTART, GOING_AWAY, "the node is leaving"),
+    "gone": (SERVICE_RESTART, GOING_AWAY, "the node has left"),
+    "moved": (SERVICE_RESTART, GOING_AWAY, "moved to another node"),
+    "rebalance": (SERVICE_RESTART, GOING_AWAY, "moved to another node"),
     "end": (GOING_AWAY, GOING_AWAY, "the sidecar is ending"),
 }
 FULL = {
@@ -76,7 +76,7 @@
     def retune(self, plan: Plan, settings: Settings) -> None:
         """Keep to these from here on; open sockets keep what they began with."""
         self._plan, self._settings = plan, settings
-        self.policy.bounds = plan.bounds
+        self.policy.config = plan.bounds
         self._classes = {c.name.encode(): (i, c) for i, c in enumerate(settings.classes)}
         self._tenants = {t.name.encode(): i for i, t in enumerate(settings.tenants)}
 
@@ -123,7 +123,10 @@
         return self._refusal(FULL[why])
 
     def _refusal(self, words: str) -> HttpResponse:
-        headers: Headers = [(b"content-type", b"text/plain"), (b"retry-after", b"%.3f" % self.policy.back_s())]
+        headers: Headers = [
+            (b"content-type", b"text/plain"),
+            (b"retry-after", b"%.3f" % self.policy.reconnect_delay_s()),
+        ]
         return HttpResponse(503, headers, words.encode() + b"\n")
 
     def declined(self, upgrade: Upgrade, answer: HttpResponse | None) -> None:
@@ -131,7 +134,7 @@
         asked: _Asked = upgrade.token
         if asked.admitted:
             asked.admitted = False
-            self.policy.leave_place(asked.tenant)
+            self.policy.release(asked.tenant)
             self.failed["left" if answer is None else str(answer.status)] += 1
 
     def switched(self, upgrade: Upgrade, client: tuple[Any, bytes], answer: HttpResponse) -> None:
@@ -151,7 +154,7 @@
         self._serial += 1
         now = self._loop.time()
         if self._listed.get(node.name) != "up":  # it was told to leave while the handshake was out
-            self.policy.leave(now, node.name, "drain" if node.name in self._listed else "gone")
+            self.policy.start_drain(now, node.name, "drain" if node.name in self._listed else "gone")
         self.policy.opened(now, self._serial, node.name, asked.tenant)
         self._sidecar.adjust_held_connections(node.name, 1)
         relay = self._open[self._serial] = Relay(
@@ -180,7 +183,7 @@
         whose = relay.tenant or "nobody"
         log.log(level, "socket %d of %s on %s ended: %s", relay.id, whose, relay.node, ending.why)
         if relay.node not in self._listed:
-            self.policy.forget(relay.node)
+            self.policy.forget_node(relay.node)
         if not self._open:
             self._none_left.set()
 
@@ -191,7 +194,7 @@
             other.node == relay.node and other.node_heard_at > since + 1.0
             for other in self._open.values() if other is not relay
         )  # fmt: skip
-        if self.policy.stalled(self._loop.time(), relay.node, others):
+        if self.policy.record_stall(self._loop.time(), relay.node, others):
             log.warning("node %s is silent on its sockets: no new work but trials", relay.node)
             self._sidecar.report_unresponsive(relay.node)
 
@@ -206,20 +209,20 @@
                 gone.add(node)
             elif lifecycle == "up":
                 self._listed[node] = lifecycle
-                self.policy.stay(node)
+                self.policy.cancel_drain(node)
             else:
                 self._listed[node] = lifecycle
-                self.policy.leave(now, node, "drain")
+                self.policy.start_drain(now, node, "drain")
         for node in gone:
             self._listed.pop(node, None)
-            self.policy.leave(now, node, "gone")
-            self.policy.forget(node)
-        self.policy.nodes({node for node, lifecycle in self._listed.items() if lifecycle == "up"})
+            self.policy.start_drain(now, node, "gone")
+            self.policy.forget_node(node)
+        self.policy.set_available_nodes({node for node, lifecycle in self._listed.items() if lifecycle == "up"})
         self._plan_next()
 
     def move(self, node: str) -> str:
         """Close a node's sockets, paced, so that they open elsewhere; empty, or why not."""
-        if not self.policy.move(self._loop.time(), node):
+        if not self.policy.move_sockets(self._loop.time(), node):
             return f"no sockets on {node}"
         self._plan_next()
         return ""
@@ -227,14 +230,14 @@
     def _plan_next(self) -> None:
         """Close what is due, and have a timer for the next."""
         now = self._loop.time()
-        closes, at = self.policy.due(now)
+        closes, at = self.policy.take_due(now)
         for close in closes:
             self._close(close.id, close.why)
         if at and (self._timer is None or at < self._timer_at):
             if self._timer is not None:
                 self._timer.cancel()
             self._timer, self._timer_at = self._wheel.call_at(at, self._due), at
-        if self.policy.bounds.rebalance_per_s and self._watch is None:
+        if self.policy.config.rebalance_per_s and self._watch is None:
             self._watch = self._loop.call_later(REBALANCE_S, self._rebalance)
 
     def _due(self) -> None:
@@ -252,14 +255,14 @@
         relay = self._open.get(id)
         if relay is not None:
             client, node, words = REASONS[why]
-            relay.close(why, client, node, f"{words}; come back in {self.policy.back_s():.1f} s")
+            relay.close(why, client, node, f"{words}; come back in {self.policy.reconnect_delay_s():.1f} s")
 
     # --- the end --------------------------------------------------------------------------------
 
     async def drain(self, within_s: float) -> None:
         """Close all, paced, in that time; what is left then is cut."""
         end = self._loop.time() + within_s
-        self.policy.end(self._loop.time(), within_s)
+        self.policy.shut_down(self._loop.time(), within_s)
         self._plan_next()
         self._none_left.clear()
         if self._open:
--- a/covetally/websocket/policy.py
+++ b/covetally/websocket/policy.py
@@ -1,15 +1,15 @@
-"""Which sockets may open, and which are to be closed when. No I/O: seconds are an argument, draws come from a
-source that is given. Which node an upgrade goes to is the balancer's matter, as for any call.
-
-    admit       places are counted from the handshake on: for this sidecar, and for each tenant
-    leave       a node drains or is off the list: its sockets close, spread over drain_s
-    stay        it is back: what has not been closed stays
-    move        an operator wants its sockets elsewhere: as leave, but it may have new ones
-    end         this process ends: all close, spread over the time there is
-    rebalance   some nodes hold far fewer than the mean: one of the fullest is moved now and then, rebalance_per_s
-                at most
-
-Sockets that close together would come back together, so each close names a time of its own to come back after.
+"""Decides which sockets may open and when sockets are closed. Performs no I/O: the time, in seconds, and the source
+of randomness are arguments. The balancer chooses the node of an upgrade, as of any request.
+
+    admit           enforces the limits of this sidecar and of each tenant, counting sockets from the handshake on
+    start_drain     a node drains or is off the server list: closes its sockets, spread over drain_s
+    cancel_drain    the node is available again: keeps the sockets that are not closed yet
+    move_sockets    an operator moves a node's sockets: like start_drain, but the node may get new ones
+    shut_down       the process stops: closes all sockets, spread over part of the remaining time
+    rebalance       some node has far fewer sockets than the mean: closes one of the fullest node, at most
+                    rebalance_per_s a second
+
+Clients whose sockets close together would also reconnect together, so each close frame names a random delay.
 """
 
 from __future__ import annotations
@@ -20,190 +20,204 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-END_SHARE = 0.7  # of the time that is left at the end of a process: the rest is for closing handshakes
-FULL, EMPTY = 1.25, 0.75  # of the mean: who holds more may lose one as long as somebody holds less
-SUSPECTS = 3  # sockets of one node that stall within SUSPECT_S, none of its others being heard, convict it
-SUSPECT_S = 30.0
+SHUTDOWN_CLOSE_FRACTION = 0.7  # of the shutdown time; the rest is for the closing handshakes
+# Times the mean: a node above the first gives up a socket if some node is below the second.
+REBALANCE_FROM, REBALANCE_TO = 1.25, 0.75
+# A node is reported as unresponsive if this many of its sockets (or all, if it has fewer) stall within
+# STALL_WINDOW_S while none of its other sockets receives a frame.
+MIN_STALLED_SOCKETS = 3
+STALL_WINDOW_S = 30.0
 
 
 @dataclass(frozen=True, slots=True)
-class Bounds:
-    """Counts of sockets; seconds; sockets a second."""
+class PolicyConfig:
+    """The limits and rates of the policy: counts of sockets, seconds, sockets per second."""
 
     sockets: int
     per_tenant: int
     drain_s: float
-    back_s: float  # the longest time to come back that is named
+    max_reconnect_delay_s: float  # upper bound of the delay that a close frame names
     rebalance_per_s: float = 0.0
 
 
 class Close(NamedTuple):
-    """A socket that is to be closed now, and why: drain, gone, moved, rebalance or end."""
+    """A socket that must be closed now, and the reason: drain, gone, moved, rebalance or end."""
 
     id: int
     why: str
 
 
 @dataclass(slots=True)
-class _Held:
+class _Socket:
     node: str
     tenant: str
-    due: float = 0.0  # when it is to be closed; 0: not planned
+    due: float = 0.0  # when it must be closed; 0: not scheduled
     why: str = ""
 
 
 class Policy:
-    """All sockets of one sidecar."""
+    """The limits and scheduled closes of all sockets of one sidecar."""
 
-    def __init__(self, bounds: Bounds, rng: random.Random) -> None:
-        self.bounds = bounds
+    def __init__(self, config: PolicyConfig, rng: random.Random) -> None:
+        self.config = config
         self._rng = rng
-        self._held: dict[int, _Held] = {}
-        self._of_tenant: Counter[str] = Counter()  # with those whose handshake is out
-        self._places = 0
-        self._of_node: dict[str, set[int]] = {}
-        self._leaving: dict[str, tuple[float, str]] = {}  # until when its sockets close, and why
-        self._end_at = 0.0  # when all have to be closed; 0: this process goes on
-        self._up: set[str] = set()
-        self._plan: list[tuple[float, int]] = []  # a heap; an entry counts if its socket's `due` is the same
+        self._sockets: dict[int, _Socket] = {}
+        self._tenant_counts: Counter[str] = Counter()  # including handshakes in progress
+        self._count = 0  # including handshakes in progress
+        self._sockets_by_node: dict[str, set[int]] = {}
+        self._draining: dict[str, tuple[float, str]] = {}  # by when its sockets must be closed, and why
+        self._shutdown_at = 0.0  # when all must be closed; 0: no shutdown
+        self._available_nodes: set[str] = set()
+        self._schedule: list[tuple[float, int]] = []  # a heap; an entry is valid if it equals its socket's `due`
         self._stalls: dict[str, list[float]] = {}
-        self._moved_at = 0.0
+        self._rebalanced_at = 0.0
 
-    # --- places ---------------------------------------------------------------------------------
+    # --- limits ---------------------------------------------------------------------------------
 
     def admit(self, tenant: str) -> str:
-        """Take a place; empty, or why there is none: end, sockets or tenant."""
-        if self._end_at:
+        """Count a new handshake and return "", or return the reason for a refusal: end, sockets or tenant."""
+        if self._shutdown_at:
             return "end"
-        if self._places >= self.bounds.sockets:
+        if self._count >= self.config.sockets:
             return "sockets"
-        if self._of_tenant[tenant] >= self.bounds.per_tenant:
+        if self._tenant_counts[tenant] >= self.config.per_tenant:
             return "tenant"
-        self._places += 1
-        self._of_tenant[tenant] += 1
+        self._count += 1
+        self._tenant_counts[tenant] += 1
         return ""
 
-    def leave_place(self, tenant: str) -> None:
-        """A place that was taken is free: no socket came of it, or it has ended."""
-        self._places -= 1
-        self._of_tenant[tenant] -= 1
-        if not self._of_tenant[tenant]:
-            del self._of_tenant[tenant]
+    def release(self, tenant: str) -> None:
+        """Release what admit counted: the handshake has failed or the socket has ended."""
+        self._count -= 1
+        self._tenant_counts[tenant] -= 1
+        if not self._tenant_counts[tenant]:
+            del self._tenant_counts[tenant]
 
-    def back_s(self) -> float:
-        """After how long to come back: a time of each one's own."""
-        return self.bounds.back_s * (0.1 + 0.9 * self._rng.random())
+    def reconnect_delay_s(self) -> float:
+        """Return a random delay after which a client should reconnect."""
+        return self.config.max_reconnect_delay_s * (0.1 + 0.9 * self._rng.random())
 
     def opened(self, now: float, id: int, node: str, tenant: str) -> None:
-        """A place that was taken holds a socket now."""
-        held = self._held[id] = _Held(node, tenant)
-        self._of_node.setdefault(node, set()).add(id)
-        if self._end_at:
-            self._set(now, id, held, self._end_at, "end")
-        elif node in self._leaving:  # its handshake was out when the node was told to leave
-            until, why = self._leaving[node]
-            self._set(now, id, held, until, why)
+        """Add the socket of a successful handshake."""
+        socket = self._sockets[id] = _Socket(node, tenant)
+        self._sockets_by_node.setdefault(node, set()).add(id)
+        if self._shutdown_at:
+            self._schedule_within(now, id, socket, self._shutdown_at, "end")
+        elif node in self._draining:  # the drain began during the handshake
+            deadline, why = self._draining[node]
+            self._schedule_within(now, id, socket, deadline, why)
 
     def ended(self, id: int) -> None:
-        """A socket has ended: its place is free."""
-        held = self._held.pop(id)
-        self._of_node[held.node].discard(id)
-        if not self._of_node[held.node]:
-            del self._of_node[held.node]
-        self.leave_place(held.tenant)
+        """Remove a socket that has ended."""
+        socket = self._sockets.pop(id)
+        self._sockets_by_node[socket.node].discard(id)
+        if not self._sockets_by_node[socket.node]:
+            del self._sockets_by_node[socket.node]
+        self.release(socket.tenant)
 
     # --- closing --------------------------------------------------------------------------------
 
-    def nodes(self, up: set[str]) -> None:
-        """The nodes that may have new sockets."""
-        self._up = up
+    def set_available_nodes(self, nodes: set[str]) -> None:
+        """Set the nodes that may get new sockets."""
+        self._available_nodes = nodes
 
-    def leave(self, now: float, node: str, why: str) -> None:
-        """A node drains ("drain") or is off the list ("gone")."""
-        if node not in self._leaving:
-            self._leaving[node] = (now + self.bounds.drain_s, why)
-            self._spread(now, self._of_node.get(node, set()), self.bounds.drain_s, why)
+    def start_drain(self, now: float, node: str, why: str) -> None:
+        """Close the sockets of a node that drains ("drain") or is off the server list ("gone")."""
+        if node not in self._draining:
+            self._draining[node] = (now + self.config.drain_s, why)
+            self._schedule_spread(now, self._sockets_by_node.get(node, set()), self.config.drain_s, why)
 
-    def stay(self, node: str) -> None:
-        """It is back, or never left."""
-        if self._leaving.pop(node, None) is None or self._end_at:
+    def cancel_drain(self, node: str) -> None:
+        """Keep the sockets of a node that is available; does nothing if it was not draining."""
+        if self._draining.pop(node, None) is None or self._shutdown_at:
             return
-        for id in self._of_node.get(node, ()):
-            self._held[id].due = 0.0
-
-    def forget(self, node: str) -> None:
-        """Nothing more will be told of a node that is off the list."""
-        if node not in self._of_node:
-            self._leaving.pop(node, None)
-
-    def move(self, now: float, node: str) -> int:
-        """An operator wants its sockets elsewhere; how many there are."""
-        ids = self._of_node.get(node, set())
-        self._spread(now, {id for id in ids if not self._held[id].due}, self.bounds.drain_s, "moved")
+        for id in self._sockets_by_node.get(node, ()):
+            self._sockets[id].due = 0.0
+
+    def forget_node(self, node: str) -> None:
+        """Drop the state of a node that is off the server list once it has no sockets."""
+        if node not in self._sockets_by_node:
+            self._draining.pop(node, None)
+
+    def move_sockets(self, now: float, node: str) -> int:
+        """Close a node's sockets on an operator's request; return how many it has."""
+        ids = self._sockets_by_node.get(node, set())
+        self._schedule_spread(now, {id for id in ids if not self._sockets[id].due}, self.config.drain_s, "moved")
         return len(ids)
 
-    def end(self, now: float, within_s: float) -> None:
-        """This process has so long."""
-        self._end_at = now + within_s * END_SHARE
-        self._spread(now, set(self._held), within_s * END_SHARE, "end")
-
-    def _spread(self, now: float, ids: set[int], window_s: float, why: str) -> None:
-        """Over the window, evenly and in any order."""
-        order = sorted(ids)
-        self._rng.shuffle(order)
-        for number, id in enumerate(order):
-            at = now + window_s * (number + self._rng.random()) / len(order)
-            self._put(id, self._held[id], at, why)
-
-    def _set(self, now: float, id: int, held: _Held, until: float, why: str) -> None:
-        self._put(id, held, now + max(0.0, until - now) * self._rng.random(), why)
-
-    def _put(self, id: int, held: _Held, at: float, why: str) -> None:
-        held.due, held.why = max(at, 1e-9), why
-        heapq.heappush(self._plan, (held.due, id))
-
-    def due(self, now: float) -> tuple[list[Close], float]:
-        """The sockets to be closed now, and when to ask again; 0 if there is nothing planned."""
+    def shut_down(self, now: float, within_s: float) -> None:
+        """Close all sockets, since the process stops within that time."""
+        self._shutdown_at = now + within_s * SHUTDOWN_CLOSE_FRACTION
+        self._schedule_spread(now, set(self._sockets), within_s * SHUTDOWN_CLOSE_FRACTION, "end")
+
+    def _schedule_spread(self, now: float, ids: set[int], window_s: float, why: str) -> None:
+        """Schedule closes evenly over a window, in random order."""
+        shuffled = sorted(ids)
+        self._rng.shuffle(shuffled)
+        for index, id in enumerate(shuffled):
+            at = now + window_s * (index + self._rng.random()) / len(shuffled)
+            self._schedule_at(id, self._sockets[id], at, why)
+
+    def _schedule_within(self, now: float, id: int, socket: _Socket, deadline: float, why: str) -> None:
+        """Schedule a close at a random time before a deadline."""
+        self._schedule_at(id, socket, now + max(0.0, deadline - now) * self._rng.random(), why)
+
+    def _schedule_at(self, id: int, socket: _Socket, at: float, why: str) -> None:
+        """Schedule a close; it replaces an earlier one of the socket."""
+        socket.due, socket.why = max(at, 1e-9), why
+        heapq.heappush(self._schedule, (socket.due, id))
+
+    def take_due(self, now: float) -> tuple[list[Close], float]:
+        """Return the sockets that must be closed now, and when the next is due (0: none is scheduled)."""
         closes = []
-        while self._plan and self._plan[0][0] <= now:
-            at, id = heapq.heappop(self._plan)
-            held = self._held.get(id)
-            if held is not None and held.due == at:
-                held.due = 0.0
-                closes.append(Close(id, held.why))
-        return closes, self._plan[0][0] if self._plan else 0.0
+        while self._schedule and self._schedule[0][0] <= now:
+            at, id = heapq.heappop(self._schedule)
+            socket = self._sockets.get(id)
+            if socket is not None and socket.due == at:
+                socket.due = 0.0
+                closes.append(Close(id, socket.why))
+        return closes, self._schedule[0][0] if self._schedule else 0.0
 
     def rebalance(self, now: float) -> list[Close]:
-        """At most one socket to move, where that would help; to be asked a few times a second."""
-        rate = self.bounds.rebalance_per_s
-        if not rate or self._end_at or now < self._moved_at + 1.0 / rate or len(self._up) < 2:
+        """Return at most one socket to move if that improves the balance; called a few times a second."""
+        rate = self.config.rebalance_per_s
+        if (
+            not rate
+            or self._shutdown_at
+            or now < self._rebalanced_at + 1.0 / rate
+            or len(self._available_nodes) < 2
+        ):
             return []
-        counts = {node: len(self._of_node.get(node, ())) for node in self._up}
+        counts = {node: len(self._sockets_by_node.get(node, ())) for node in self._available_nodes}
         mean = sum(counts.values()) / len(counts)
-        most = max(counts, key=lambda node: (counts[node], node))
-        if counts[most] <= FULL * mean or min(counts.values()) >= EMPTY * mean or counts[most] < mean + 1:
+        fullest = max(counts, key=lambda node: (counts[node], node))
+        if (
+            counts[fullest] <= REBALANCE_FROM * mean
+            or min(counts.values()) >= REBALANCE_TO * mean
+            or counts[fullest] < mean + 1
+        ):
             return []
-        self._moved_at = now
-        free = sorted(id for id in self._of_node[most] if not self._held[id].due)
-        return [Close(self._rng.choice(free), "rebalance")] if free else []
+        self._rebalanced_at = now
+        unscheduled = sorted(id for id in self._sockets_by_node[fullest] if not self._sockets[id].due)
+        return [Close(self._rng.choice(unscheduled), "rebalance")] if unscheduled else []
 
     # --- nodes that stall -----------------------------------------------------------------------
 
-    def stalled(self, now: float, node: str, others_heard: bool) -> bool:
-        """A node said nothing on one socket for too long; whether the balancer is to be told that it hangs.
-        `others_heard`: another socket of its has heard from it meanwhile."""
+    def record_stall(self, now: float, node: str, others_heard: bool) -> bool:
+        """Record that a node was silent on a socket for too long; return whether to report it as unresponsive.
+        `others_heard`: another socket has received frames from the node meanwhile."""
         if others_heard:
             self._stalls.pop(node, None)
             return False
-        recent = [at for at in self._stalls.get(node, []) if at > now - SUSPECT_S] + [now]
-        self._stalls[node] = recent[-SUSPECTS:]
-        return len(recent) >= min(SUSPECTS, len(self._of_node.get(node, ())) or 1)
+        recent = [at for at in self._stalls.get(node, []) if at > now - STALL_WINDOW_S] + [now]
+        self._stalls[node] = recent[-MIN_STALLED_SOCKETS:]
+        return len(recent) >= min(MIN_STALLED_SOCKETS, len(self._sockets_by_node.get(node, ())) or 1)
 
-    # --- what is told ---------------------------------------------------------------------------
+    # --- status ---------------------------------------------------------------------------------
 
     def counts(self) -> dict[str, dict[str, int]]:
-        """Sockets by node and by tenant, the latter with those whose handshake is out."""
+        """Return the sockets by node and by tenant; the latter include handshakes in progress."""
         return {
-            "nodes": {node: len(ids) for node, ids in sorted(self._of_node.items())},
-            "tenants": dict(sorted(self._of_tenant.items())),
+            "nodes": {node: len(ids) for node, ids in sorted(self._sockets_by_node.items())},
+            "tenants": dict(sorted(self._tenant_counts.items())),
         }
--- a/covetally/websocket/relay.py
+++ b/covetally/websocket/relay.py
@@ -26,16 +26,16 @@
 from covetally.net.timer_wheel import Timer, TimerWheel
 from covetally.websocket.frames import (
     GOING_AWAY,
-    INTERNAL,
+    INTERNAL_ERROR,
     PING,
-    POLICY,
-    TRY_LATER,
-    Frames,
-    Got,
+    POLICY_VIOLATION,
+    TRY_AGAIN_LATER,
+    FrameParser,
+    ParsedFrames,
     Limits,
-    Violation,
-    close,
-    control,
+    ProtocolViolation,
+    encode_close,
+    encode_control,
 )
 from covetally.websocket.liveness import CLIENT, NODE, Liveness, LivenessEvent, LivenessTimeouts
 
@@ -87,7 +87,7 @@
 
     def __init__(self, number: int, sock: socket.socket, limits: Limits, tokens: float, now: float) -> None:
         self.number, self.sock, self.fd = number, sock, sock.fileno()
-        self.frames = Frames(number == CLIENT, limits)  # what it sends
+        self.frames = FrameParser(number == CLIENT, limits)  # what it sends
         self.out: deque[bytes] = deque()  # what waits to be sent to it
         self.waiting = 0  # bytes of that
         self.reading = self.writing = False
@@ -175,20 +175,20 @@
         side = self.sides[number]
         if verdict is LivenessEvent.PING:
             payload = OWN + os.urandom(6)
-            side.frames.own.add(payload)
-            self._say(side, control(PING, payload, number == NODE))
+            side.frames.own_pings.add(payload)
+            self._say(side, encode_control(PING, payload, number == NODE))
         elif verdict is LivenessEvent.IDLE:
             self.close("idle", GOING_AWAY, GOING_AWAY, "nothing was said for too long")
         elif verdict is LivenessEvent.SLOW:
             if number == CLIENT:
-                self.close("slow client", POLICY, GOING_AWAY, "too slow a reader")
+                self.close("slow client", POLICY_VIOLATION, GOING_AWAY, "too slow a reader")
             else:
-                self.close("slow node", TRY_LATER, POLICY, "too slow a reader")
+                self.close("slow node", TRY_AGAIN_LATER, POLICY_VIOLATION, "too slow a reader")
         elif number == CLIENT:
             self.close("silent client", GOING_AWAY, GOING_AWAY, "no sign of life")
         else:
             self._hung(self)
-            self.close("stalled node", INTERNAL, GOING_AWAY, "the node is silent")
+            self.close("stalled node", INTERNAL_ERROR, GOING_AWAY, "the node is silent")
 
     # --- reading --------------------------------------------------------------------------------
 
@@ -228,30 +228,31 @@
         other = self.sides[1 - side.number]
         try:
             got = side.frames.feed(data)
-        except Violation as violation:
-            self._pass(side, other, violation.got)
+        except ProtocolViolation as violation:
+            self._pass(side, other, violation.parsed)
             if side.number == CLIENT:
                 self.close("client at fault", violation.code, GOING_AWAY, violation.reason)
             else:
-                self.close("node at fault", INTERNAL, violation.code, violation.reason)
+                self.close("node at fault", INTERNAL_ERROR, violation.code, violation.reason)
             return
         self._liveness.record_input(side.number, self._loop.time(), got.messages > 0)
         if got.frames and self._terms.frames_per_s and not self._within_rate(side, got.frames):
             self.close(f"{'client' if side.number == CLIENT else 'node'} too fast",
-                       *((POLICY, GOING_AWAY) if side.number == CLIENT else (INTERNAL, POLICY)),
+                       *((POLICY_VIOLATION, GOING_AWAY) if side.number == CLIENT
+                         else (INTERNAL_ERROR, POLICY_VIOLATION)),
                        "too many frames a second")  # fmt: skip
             return
         self._pass(side, other, got)
         if got.close is not None and self.state is not State.ENDED:
             self._closed_by(side, other, got.close[0])
 
-    def _pass(self, side: _Side, other: _Side, got: Got) -> None:
+    def _pass(self, side: _Side, other: _Side, got: ParsedFrames) -> None:
         side.got += got.frames
         if other.close_sent is not None or other.lost:
             return  # it must not have anything after a close frame
-        for piece in got.out:
+        for piece in got.forward:
             self._send(other, piece)
-        if other.owed and side.frames.between:
+        if other.owed and side.frames.at_frame_boundary:
             owed, other.owed = other.owed, b""
             self._send(other, owed)
         if other.waiting > self._terms.buffer and side.reading:
@@ -290,7 +291,7 @@
 
     def _say(self, side: _Side, frame: bytes) -> None:
         """Put in a frame of ours: now, or at the end of a long one that is going through."""
-        if self.sides[1 - side.number].frames.between:
+        if self.sides[1 - side.number].frames.at_frame_boundary:
             self._send(side, frame)
         else:
             side.owed += frame
@@ -342,7 +343,7 @@
 
     def _say_close(self, side: _Side, code: int, reason: str) -> None:
         if side.close_sent is None and not side.lost:
-            self._say(side, close(code, reason, side.number == NODE))
+            self._say(side, encode_close(code, reason, side.number == NODE))
             side.close_sent = code
 
     def _begin_close(self, why: str) -> None:
@@ -382,12 +383,12 @@
         """Its connection has ended or broken."""
         if side.lost:
             return
-        whole = side.frames.between and not side.frames.held
+        whole = side.frames.at_frame_boundary and not side.frames.buffered_bytes
         self._drop(side)
         if self.state is State.ENDED:
             return
         other = self.sides[1 - side.number]
-        if not side.frames.between and not other.lost and other.close_sent is None:
+        if not side.frames.at_frame_boundary and not other.lost and other.close_sent is None:
             # In the middle of a frame that was going through: nothing that is put in now could be understood.
             self._begin_close("cut in a frame" if self.state is State.OPEN else self.why)
             self._drop(other, reset=True)
@@ -398,9 +399,11 @@
                 self.close("client lost", GOING_AWAY, GOING_AWAY, "the client is gone")
             else:
                 words = "the node is gone" if whole else "the node is gone, in the middle of a frame"
-                self.close("node lost", INTERNAL, GOING_AWAY, words)
+                self.close("node lost", INTERNAL_ERROR, GOING_AWAY, words)
         elif other.close_sent is None:  # it was closing for the other, which has not been told
-            self._say_close(other, INTERNAL if side.number == NODE else GOING_AWAY, "the other side is gone")
+            self._say_close(
+                other, INTERNAL_ERROR if side.number == NODE else GOING_AWAY, "the other side is gone"
+            )
         self._settle()
 
     def _drop(self, side: _Side, reset: bool = False) -> None:
--- a/covetally/websocket/settings.py
+++ b/covetally/websocket/settings.py
@@ -9,7 +9,7 @@
 from covetally.operator.check import OperatorError, Problem
 from covetally.operator.schema import Value
 from covetally.websocket.liveness import LivenessTimeouts
-from covetally.websocket.policy import Bounds
+from covetally.websocket.policy import PolicyConfig
 
 KIB = 1024
 
@@ -30,7 +30,7 @@
 class Plan:
     """All of it. Bytes, frames a second, seconds."""
 
-    bounds: Bounds
+    bounds: PolicyConfig
     per_node: int
     patience: LivenessTimeouts
     max_frame: int
@@ -73,7 +73,7 @@
         ))  # fmt: skip
     routes.sort(key=lambda route: -len(route.path))
     return Plan(
-        Bounds(
+        PolicyConfig(
             sockets, int(number("per_tenant", sockets)), number("drain_s", 20.0), number("back_s", 10.0),
             number("rebalance_per_s", 0.0),
         ),
--- a/tests/websocket/test_frames.py
+++ b/tests/websocket/test_frames.py
@@ -1,4 +1,4 @@
-"""Frames of one direction: a table of what must be refused, and seeded streams against a plain model."""
+"""Tests of the frame parser: a table of violations, and seeded random streams against a reference parser."""
 
 from __future__ import annotations
 
@@ -8,7 +8,16 @@
 import pytest
 
 from covetally.websocket import frames
-from covetally.websocket.frames import HOLD, Frames, Limits, Violation, close, control, parse_close, unmasked
+from covetally.websocket.frames import (
+    MAX_BUFFERED_FRAME,
+    FrameParser,
+    Limits,
+    ProtocolViolation,
+    encode_close,
+    encode_control,
+    parse_close,
+    apply_mask,
+)
 
 LIMITS = Limits(100_000, 200_000)
 MASK = b"\x11\x22\x33\x44"
@@ -16,7 +25,7 @@
 
 
 def frame(opcode: int, payload: bytes = b"", fin: bool = True, masked: bool = True, rsv: int = 0) -> bytes:
-    """A frame by the shortest form of section 5.2, written apart from the module."""
+    """Encode a frame in the shortest form of section 5.2, independently of the module under test."""
     head, bit, size = bytes([(0x80 if fin else 0) | rsv | opcode]), 0x80 if masked else 0, len(payload)
     if size < 126:
         head += bytes([bit | size])
@@ -29,18 +38,18 @@
     return head + MASK + bytes(b ^ MASK[i % 4] for i, b in enumerate(payload))
 
 
-def play(data: bytes, limits: Limits = LIMITS, masked: bool = True) -> tuple[bytes, int | None]:
-    """What goes through of a stream, and the close code of its fault."""
-    one = Frames(masked, limits)
+def parse_stream(data: bytes, limits: Limits = LIMITS, masked: bool = True) -> tuple[bytes, int | None]:
+    """Return the forwarded bytes of a stream and the close code of its violation, if any."""
+    parser = FrameParser(masked, limits)
     try:
-        return b"".join(one.feed(data).out), None
-    except Violation as violation:
-        return b"".join(violation.got.out), violation.code
+        return b"".join(parser.feed(data).forward), None
+    except ProtocolViolation as violation:
+        return b"".join(violation.parsed.forward), violation.code
 
 
 FAULTS = [
-    ("an opcode nobody knows", frame(3), 1002),
-    ("a control opcode nobody knows", frame(0xB), 1002),
+    ("an unknown opcode", frame(3), 1002),
+    ("an unknown control opcode", frame(0xB), 1002),
     ("RSV1 without an extension", frame(1, b"x", rsv=0x40), 1002),
     ("RSV2", frame(1, b"x", rsv=0x20), 1002),
     ("RSV1 on a ping", frame(9, b"x", rsv=0x40), 1002),
@@ -65,15 +74,15 @@
 
 
 @pytest.mark.parametrize("name,data,code", FAULTS, ids=[fault[0] for fault in FAULTS])
-def test_what_must_not_come_ends_with_its_code_and_what_came_before_goes_through(name, data, code):
+def test_a_violation_has_its_close_code_and_the_preceding_frames_are_forwarded(name, data, code):
     before = frame(1, b"fine") + frame(9, b"p")
-    got, found = play(before + data)
+    got, found = parse_stream(before + data)
     assert found == code
     assert got.startswith(before)
 
 
 @pytest.mark.parametrize("masked", [True, False])
-def test_whole_streams_go_through_byte_for_byte(masked):
+def test_valid_streams_are_forwarded_byte_for_byte(masked):
     parts = [
         frame(1, b"", masked=masked), frame(2, b"x" * 125, masked=masked), frame(2, b"x" * 126, masked=masked),
         frame(2, b"x" * 65535, masked=masked), frame(2, b"x" * 65536, masked=masked),
@@ -82,49 +91,53 @@
         frame(8, b"\x0f\xa0bye", masked=masked),
     ]  # fmt: skip
     data = b"".join(parts)
-    assert play(data, masked=masked) == (data, None)
+    assert parse_stream(data, masked=masked) == (data, None)
 
 
-def test_extensions_may_set_what_was_agreed_and_no_more():
+def test_only_agreed_extensions_may_set_reserved_bits():
     deflate, unknown = Limits(100, 100, rsv1=True), Limits(100, 100, rsv=True)
-    assert play(frame(1, b"x", rsv=0x40), deflate)[1] is None
-    assert play(frame(1, b"x", fin=False, rsv=0x40) + frame(0, b"y", rsv=0x40), deflate)[1] == 1002
-    assert play(frame(1, b"x", rsv=0x60), deflate)[1] == 1002
-    assert play(frame(9, b"x", rsv=0x70), unknown)[1] is None
+    assert parse_stream(frame(1, b"x", rsv=0x40), deflate)[1] is None
+    assert parse_stream(frame(1, b"x", fin=False, rsv=0x40) + frame(0, b"y", rsv=0x40), deflate)[1] == 1002
+    assert parse_stream(frame(1, b"x", rsv=0x60), deflate)[1] == 1002
+    assert parse_stream(frame(9, b"x", rsv=0x70), unknown)[1] is None
 
 
-def test_after_a_close_nothing_goes_through():
-    one = Frames(True, LIMITS)
+def test_nothing_is_forwarded_after_a_close_frame():
+    parser = FrameParser(True, LIMITS)
     bye = frame(8, b"\x03\xe8")
-    got = one.feed(bye + frame(1, b"more"))
-    assert got.out == [bye]
+    got = parser.feed(bye + frame(1, b"more"))
+    assert got.forward == [bye]
     assert got.close == (1000, "")
-    assert one.feed(frame(1, b"more")).out == []
+    assert parser.feed(frame(1, b"more")).forward == []
 
 
-def test_a_pong_for_us_is_told_and_goes_no_further():
-    one = Frames(True, LIMITS)
-    one.own.add(b"cs123456")
+def test_a_pong_to_an_own_ping_is_reported_and_not_forwarded():
+    parser = FrameParser(True, LIMITS)
+    parser.own_pings.add(b"cs123456")
     a, b = frame(1, b"a"), frame(2, b"b")
-    got = one.feed(a + frame(10, b"cs123456") + b + frame(10, b"theirs"))
-    assert b"".join(got.out) == a + b + frame(10, b"theirs")
+    got = parser.feed(a + frame(10, b"cs123456") + b + frame(10, b"theirs"))
+    assert b"".join(got.forward) == a + b + frame(10, b"theirs")
     assert got.pongs == [b"cs123456", b"theirs"]
-    assert not one.own
+    assert not parser.own_pings
 
 
-def test_our_frames_can_be_read_by_the_other_side():
+def test_encoded_control_frames_can_be_parsed():
     for masked in (True, False):
-        assert Frames(masked, LIMITS).feed(close(1012, "ü" * 100, masked)).close == (1012, "ü" * 61)
-        assert Frames(masked, LIMITS).feed(control(frames.PONG, b"abc", masked)).pongs == [b"abc"]
-    assert unmasked(unmasked(b"hello", MASK), MASK) == b"hello"
-    assert parse_close(b"") == (frames.NO_CODE, "")
+        assert FrameParser(masked, LIMITS).feed(encode_close(1012, "ü" * 100, masked)).close == (1012, "ü" * 61)
+        assert FrameParser(masked, LIMITS).feed(encode_control(frames.PONG, b"abc", masked)).pongs == [b"abc"]
+    assert apply_mask(apply_mask(b"hello", MASK), MASK) == b"hello"
+    assert parse_close(b"") == (frames.NO_STATUS_RECEIVED, "")
 
 
-def _stream(rng: random.Random) -> bytes:
-    """Frames as they may come, now and then one that must not."""
-    data, open_ = b"", False
+def _random_stream(rng: random.Random) -> bytes:
+    """Return random frames, some of them invalid."""
+    data, in_message = b"", False
     for _ in range(rng.randrange(1, 9)):
-        size = rng.choice((0, 1, 5, 125, 126, 300, HOLD, HOLD + 1, 40_000)) if rng.random() < 0.9 else 100_001
+        size = (
+            rng.choice((0, 1, 5, 125, 126, 300, MAX_BUFFERED_FRAME, MAX_BUFFERED_FRAME + 1, 40_000))
+            if rng.random() < 0.9
+            else 100_001
+        )
         kind = rng.random()
         if kind < 0.25:
             data += frame(rng.choice((9, 10)), rng.randbytes(min(size, 125)), fin=rng.random() > 0.02)
@@ -134,22 +147,22 @@
             data += rng.randbytes(rng.randrange(1, 20))
         else:
             fin = rng.random() < 0.6
-            opcode = 0 if open_ and rng.random() < 0.95 else rng.choice((1, 2))
+            opcode = 0 if in_message and rng.random() < 0.95 else rng.choice((1, 2))
             data += frame(opcode, rng.randbytes(size), fin, rsv=0x40 if rng.random() < 0.02 else 0)
-            open_ = not fin
+            in_message = not fin
     return data
 
 
-def _model(data: bytes) -> tuple[bytes, int | None]:
-    """What goes through of a stream that is here whole, and the code of its fault, by the words of section 5:
-    whole frames, and of a long frame that is cut what there is."""
-    at, message, open_ = 0, 0, False
+def _reference_parse(data: bytes) -> tuple[bytes, int | None]:
+    """Return the forwarded bytes of a whole stream and the close code of its violation, according to section 5.
+    Whole frames are forwarded, and the received part of a long frame that is cut off."""
+    at, message, in_message = 0, 0, False
     while len(data) - at >= 1:
         first = data[at]
         opcode, fin = first & 15, bool(first & 128)
         if opcode not in (0, 1, 2, 8, 9, 10) or first & 0x70:
             return data[:at], 1002
-        if opcode >= 8 and not fin or opcode < 8 and (opcode == 0) != open_:
+        if opcode >= 8 and not fin or opcode < 8 and (opcode == 0) != in_message:
             return data[:at], 1002
         if len(data) - at < 2:
             break
@@ -171,7 +184,7 @@
         if len(data) < begin:
             break
         if len(data) < begin + size:
-            return (data if size > HOLD else data[:at]), None
+            return (data if size > MAX_BUFFERED_FRAME else data[:at]), None
         body = bytes(b ^ MASK[i % 4] for i, b in enumerate(data[begin : begin + size])) if opcode == 8 else b""
         if opcode == 8:
             mask = data[begin - 4 : begin]
@@ -186,26 +199,26 @@
                 return data[:at], 1007
             return data[: begin + size], None
         if opcode < 8:
-            open_, message = not fin, message + size if not fin else 0
+            in_message, message = not fin, message + size if not fin else 0
         at = begin + size
     return data[:at], None
 
 
-def test_any_stream_in_any_pieces_is_as_the_plain_model_has_it():
+def test_any_stream_in_any_chunks_matches_the_reference_parser():
     rng = random.Random(SEED)
     faults = 0
     for number in range(1200):
-        data = _stream(rng)
-        one, out, code = Frames(True, LIMITS), b"", None
+        data = _random_stream(rng)
+        parser, out, code = FrameParser(True, LIMITS), b"", None
         at = 0
         try:
             while at < len(data):
                 step = rng.choice((1, 2, 7, 100, 5000, 70_000)) if len(data) < 2000 else rng.choice((700, 70_000))
-                out += b"".join(one.feed(data[at : at + step]).out)
+                out += b"".join(parser.feed(data[at : at + step]).forward)
                 at += step
-        except Violation as violation:
-            out += b"".join(violation.got.out)
+        except ProtocolViolation as violation:
+            out += b"".join(violation.parsed.forward)
             code = violation.code
-        assert (out, code) == _model(data), (SEED, number)
+        assert (out, code) == _reference_parse(data), (SEED, number)
         faults += code is not None
     assert 120 < faults < 1080, faults
--- a/tests/websocket/test_parts.py
+++ b/tests/websocket/test_parts.py
@@ -11,7 +11,7 @@
 from covetally.net.http_message import Malformed, RequestHead, ResponseHead
 from covetally.websocket import handshake
 from covetally.websocket.liveness import CLIENT, NODE, Liveness, LivenessEvent, LivenessTimeouts
-from covetally.websocket.policy import Bounds, Policy
+from covetally.websocket.policy import Policy, PolicyConfig
 
 KEY = b"dGhlIHNhbXBsZSBub25jZQ=="  # of RFC 6455, 1.3
 REQUEST_HEADERS = [
@@ -83,39 +83,39 @@
 # --- policy ---------------------------------------------------------------------------------------
 
 
-def policy(**changes) -> Policy:
-    bounds = {"sockets": 1000, "per_tenant": 1000, "drain_s": 10.0, "back_s": 5.0} | changes
-    return Policy(Bounds(**bounds), random.Random(1))
+def make_policy(**changes) -> Policy:
+    config = {"sockets": 1000, "per_tenant": 1000, "drain_s": 10.0, "max_reconnect_delay_s": 5.0} | changes
+    return Policy(PolicyConfig(**config), random.Random(1))
 
 
-def test_each_limit_refuses_for_its_own_reason():
-    one = policy(sockets=3, per_tenant=2)
-    assert [one.admit("a"), one.admit("a"), one.admit("a"), one.admit("b"), one.admit("b")] == [
+def test_each_limit_has_its_own_reason_for_a_refusal():
+    policy = make_policy(sockets=3, per_tenant=2)
+    assert [policy.admit("a"), policy.admit("a"), policy.admit("a"), policy.admit("b"), policy.admit("b")] == [
         "", "", "tenant", "", "sockets",
     ]  # fmt: skip
-    one.leave_place("a")
-    assert one.admit("b") == ""
-    one.end(0.0, 3.0)
-    assert one.admit("a") == "end"
+    policy.release("a")
+    assert policy.admit("b") == ""
+    policy.shut_down(0.0, 3.0)
+    assert policy.admit("a") == "end"
 
 
-def test_a_drain_is_paced_over_its_window_and_what_is_left_stays_when_it_is_taken_back():
-    one = policy(sockets=3000, per_tenant=3000)
+def test_a_drain_is_spread_over_its_window_and_a_cancelled_drain_keeps_the_rest():
+    policy = make_policy(sockets=3000, per_tenant=3000)
     for id in range(2000):
-        assert one.admit("a") == ""
-        one.opened(0.0, id, "n1" if id % 2 else "n2", "a")
-    one.leave(0.0, "n1", "drain")
-    closed = [len(one.due(step / 10)[0]) for step in range(1, 51)]
+        assert policy.admit("a") == ""
+        policy.opened(0.0, id, "n1" if id % 2 else "n2", "a")
+    policy.start_drain(0.0, "n1", "drain")
+    closed = [len(policy.take_due(step / 10)[0]) for step in range(1, 51)]
     assert 450 <= sum(closed) <= 550, sum(closed)
-    assert max(closed) <= 40, "no crowd at once"
-    one.stay("n1")
-    assert one.due(100.0) == ([], 0.0)
-    one.leave(100.0, "n1", "drain")
-    one.admit("a")
-    one.opened(101.0, 5000, "n1", "a")  # its handshake was out when the drain began
-    ids = {close.id for close in one.due(110.0)[0]}
+    assert max(closed) <= 40, "the closes are spread evenly"
+    policy.cancel_drain("n1")
+    assert policy.take_due(100.0) == ([], 0.0)
+    policy.start_drain(100.0, "n1", "drain")
+    policy.admit("a")
+    policy.opened(101.0, 5000, "n1", "a")  # its handshake was in progress when the drain began
+    ids = {close.id for close in policy.take_due(110.0)[0]}
     assert 5000 in ids
-    assert len(ids) == 1001  # as nobody has ended, all of the node's
+    assert len(ids) == 1001  # no socket has ended, so all of the node's are due
 
 
 STEP = st.tuples(st.sampled_from(("open", "end", "leave", "stay", "move", "due")), st.integers(0, 3))
@@ -123,69 +123,69 @@
 
 @given(st.lists(STEP, max_size=60))
 @settings(max_examples=200, deadline=None, derandomize=True)
-def test_in_any_order_places_are_counted_and_only_what_was_planned_closes(steps):
-    one, now, number = policy(sockets=8, per_tenant=5), 0.0, 0
-    held: dict[int, str] = {}
-    told: set[str] = set()
-    for what, which in steps:
+def test_in_any_order_sockets_are_counted_and_only_scheduled_ones_close(steps):
+    policy, now, number = make_policy(sockets=8, per_tenant=5), 0.0, 0
+    sockets: dict[int, str] = {}
+    planned_nodes: set[str] = set()
+    for action, which in steps:
         now += 1.0
         node = f"n{which}"
-        if what == "open":
-            refused = one.admit(f"t{which % 2}")
-            assert bool(refused) == (len(held) >= 8 or sum(1 for x in held if x % 2 == which % 2) >= 5)
+        if action == "open":
+            refused = policy.admit(f"t{which % 2}")
+            assert bool(refused) == (len(sockets) >= 8 or sum(1 for x in sockets if x % 2 == which % 2) >= 5)
             if not refused:
                 number += 2
                 id = number + which % 2  # its parity is its tenant
-                held[id] = node
-                one.opened(now, id, node, f"t{which % 2}")
-        elif what == "end" and held:
-            id = sorted(held)[which % len(held)]
-            del held[id]
-            one.ended(id)
-        elif what == "leave":
-            one.leave(now, node, "drain")
-            told.add(node)
-        elif what == "move":
-            one.move(now, node)
-            told.add(node)
-        elif what == "stay":
-            one.stay(node)
+                sockets[id] = node
+                policy.opened(now, id, node, f"t{which % 2}")
+        elif action == "end" and sockets:
+            id = sorted(sockets)[which % len(sockets)]
+            del sockets[id]
+            policy.ended(id)
+        elif action == "leave":
+            policy.start_drain(now, node, "drain")
+            planned_nodes.add(node)
+        elif action == "move":
+            policy.move_sockets(now, node)
+            planned_nodes.add(node)
+        elif action == "stay":
+            policy.cancel_drain(node)
         else:
-            for close in one.due(now)[0]:
-                assert held[close.id] in told
-    assert sum(one.counts()["tenants"].values()) == len(held)
-    one.end(now, 1.0)
-    closes = {close.id for close in one.due(now + 1.0)[0]}
-    assert closes == set(held), "at the end all are closed in time"
+            for close in policy.take_due(now)[0]:
+                assert sockets[close.id] in planned_nodes
+    assert sum(policy.counts()["tenants"].values()) == len(sockets)
+    policy.shut_down(now, 1.0)
+    closes = {close.id for close in policy.take_due(now + 1.0)[0]}
+    assert closes == set(sockets), "a shutdown closes all sockets in time"
 
 
-def test_the_balance_moves_one_at_a_time_from_the_fullest_and_rests_when_even():
-    one = policy(rebalance_per_s=2.0)
-    one.nodes({"n1", "n2"})
+def test_rebalancing_moves_one_socket_at_a_time_and_stops_when_nodes_are_even():
+    policy = make_policy(rebalance_per_s=2.0)
+    policy.set_available_nodes({"n1", "n2"})
     for id in range(20):
-        one.admit("a")
-        one.opened(0.0, id, "n1", "a")
+        policy.admit("a")
+        policy.opened(0.0, id, "n1", "a")
     moved = []
     for step in range(100):
-        for close in one.rebalance(step / 10):
+        for close in policy.rebalance(step / 10):
             assert close.why == "rebalance"
-            one.ended(close.id)
-            one.admit("a")
-            one.opened(step / 10, 100 + close.id, "n2", "a")
+            policy.ended(close.id)
+            policy.admit("a")
+            policy.opened(step / 10, 100 + close.id, "n2", "a")
             moved.append(step)
     assert 5 <= len(moved) <= 10
     assert min(b - a for a, b in zip(moved, moved[1:], strict=False)) >= 5
-    assert policy().rebalance(1.0) == []
+    assert make_policy().rebalance(1.0) == []
 
 
-def test_a_node_is_suspected_when_its_sockets_stall_and_none_is_heard():
-    one = policy()
+def test_a_node_is_reported_when_its_sockets_stall_and_no_other_receives_frames():
+    policy = make_policy()
     for id in range(5):
-        one.admit("a")
-        one.opened(0.0, id, "n1", "a")
-    assert [one.stalled(float(at), "n1", False) for at in range(3)] == [False, False, True]
-    assert not one.stalled(4.0, "n1", True)
-    assert not one.stalled(5.0, "n1", False), "counted anew"
+        policy.admit("a")
+        policy.opened(0.0, id, "n1", "a")
+    assert [policy.record_stall(float(at), "n1", False) for at in range(3)] == [False, False, True]
+    assert not policy.record_stall(4.0, "n1", True)
+    assert not policy.record_stall(5.0, "n1", False), "the count starts again"
 
 
 # --- liveness -------------------------------------------------------------------------------------
--- a/tests/websocket/test_sockets.py
+++ b/tests/websocket/test_sockets.py
@@ -13,7 +13,7 @@
 from covetally.interface import Settings
 from covetally.websocket.hub import Hub
 from covetally.websocket.liveness import LivenessTimeouts
-from covetally.websocket.policy import Bounds
+from covetally.websocket.policy import PolicyConfig
 from covetally.websocket.settings import Plan, Route
 from tests.loopback import response, respond_ok, sidecar_harness, request
 from tests.websocket.test_frames import frame
@@ -79,12 +79,12 @@
 async def sockets(*scripts, **changes):
     async with sidecar_harness(*scripts, clients=64, sockets=64) as here:
         config: Settings = here.balancer.state.settings
-        bounds = {"sockets": 40, "per_tenant": 40, "drain_s": 0.5, "back_s": 2.0}
+        bounds = {"sockets": 40, "per_tenant": 40, "drain_s": 0.5, "max_reconnect_delay_s": 2.0}
         patience = {"ping_s": 30.0, "pong_s": 10.0, "slow_s": 10.0, "idle_s": 0.0}
         for known in (bounds, patience):
             known.update({k: v for k, v in changes.items() if k in known})
         plan = Plan(
-            Bounds(**bounds), 0, LivenessTimeouts(**patience), 1 << 20, 1 << 22, 1000.0, 65536, 1.0,
+            PolicyConfig(**bounds), 0, LivenessTimeouts(**patience), 1 << 20, 1 << 22, 1000.0, 65536, 1.0,
             (Route("", -1, -1, 10**12, patience["idle_s"]),),
         )  # fmt: skip
         here.hub = here.frontend.upgrades = Hub(plan, config, here.sidecar, 1)
