--- a/covetally/websocket/__init__.py
+++ b/covetally/websocket/__init__.py
@@ -1,2 +1,2 @@
-"""WebSocket (RFC 6455) under the same rules as requests. Imported only where the operators' file names
-`websocket.sockets`."""
+"""WebSocket connections (RFC 6455), under the same policies as plain requests. Imported only if the operators'
+file sets `websocket.sockets`."""
--- a/covetally/websocket/policy.py
+++ b/covetally/websocket/policy.py
@@ -1,5 +1,5 @@
-"""Decides which sockets may open and when sockets are closed. Performs no I/O: the time, in seconds, and the source
-of randomness are arguments. The balancer chooses the node of an upgrade, as of any request.
+"""Decides which sockets may open and when sockets are closed. Performs no I/O: the time, in seconds, and the
+source of randomness are arguments. The balancer chooses the node of an upgrade, as of any request.
 
     admit           enforces the limits of this sidecar and of each tenant, counting sockets from the handshake on
     start_drain     a node drains or is off the server list: closes its sockets, spread over drain_s
@@ -44,7 +44,7 @@
     """A socket that must be closed now, and the reason: drain, gone, moved, rebalance or end."""
 
     id: int
-    why: str
+    reason: str
 
 
 @dataclass(slots=True)
@@ -52,7 +52,7 @@
     node: str
     tenant: str
     due: float = 0.0  # when it must be closed; 0: not scheduled
-    why: str = ""
+    reason: str = ""
 
 
 class Policy:
@@ -104,8 +104,8 @@
         if self._shutdown_at:
             self._schedule_within(now, id, socket, self._shutdown_at, "end")
         elif node in self._draining:  # the drain began during the handshake
-            deadline, why = self._draining[node]
-            self._schedule_within(now, id, socket, deadline, why)
+            deadline, reason = self._draining[node]
+            self._schedule_within(now, id, socket, deadline, reason)
 
     def ended(self, id: int) -> None:
         """Remove a socket that has ended."""
@@ -121,11 +121,11 @@
         """Set the nodes that may get new sockets."""
         self._available_nodes = nodes
 
-    def start_drain(self, now: float, node: str, why: str) -> None:
+    def start_drain(self, now: float, node: str, reason: str) -> None:
         """Close the sockets of a node that drains ("drain") or is off the server list ("gone")."""
         if node not in self._draining:
-            self._draining[node] = (now + self.config.drain_s, why)
-            self._schedule_spread(now, self._sockets_by_node.get(node, set()), self.config.drain_s, why)
+            self._draining[node] = (now + self.config.drain_s, reason)
+            self._schedule_spread(now, self._sockets_by_node.get(node, set()), self.config.drain_s, reason)
 
     def cancel_drain(self, node: str) -> None:
         """Keep the sockets of a node that is available; does nothing if it was not draining."""
@@ -150,21 +150,21 @@
         self._shutdown_at = now + within_s * SHUTDOWN_CLOSE_FRACTION
         self._schedule_spread(now, set(self._sockets), within_s * SHUTDOWN_CLOSE_FRACTION, "end")
 
-    def _schedule_spread(self, now: float, ids: set[int], window_s: float, why: str) -> None:
+    def _schedule_spread(self, now: float, ids: set[int], window_s: float, reason: str) -> None:
         """Schedule closes evenly over a window, in random order."""
         shuffled = sorted(ids)
         self._rng.shuffle(shuffled)
         for index, id in enumerate(shuffled):
             at = now + window_s * (index + self._rng.random()) / len(shuffled)
-            self._schedule_at(id, self._sockets[id], at, why)
+            self._schedule_at(id, self._sockets[id], at, reason)
 
-    def _schedule_within(self, now: float, id: int, socket: _Socket, deadline: float, why: str) -> None:
+    def _schedule_within(self, now: float, id: int, socket: _Socket, deadline: float, reason: str) -> None:
         """Schedule a close at a random time before a deadline."""
-        self._schedule_at(id, socket, now + max(0.0, deadline - now) * self._rng.random(), why)
+        self._schedule_at(id, socket, now + max(0.0, deadline - now) * self._rng.random(), reason)
 
-    def _schedule_at(self, id: int, socket: _Socket, at: float, why: str) -> None:
+    def _schedule_at(self, id: int, socket: _Socket, at: float, reason: str) -> None:
         """Schedule a close; it replaces an earlier one of the socket."""
-        socket.due, socket.why = max(at, 1e-9), why
+        socket.due, socket.reason = max(at, 1e-9), reason
         heapq.heappush(self._schedule, (socket.due, id))
 
     def take_due(self, now: float) -> tuple[list[Close], float]:
@@ -175,7 +175,7 @@
             socket = self._sockets.get(id)
             if socket is not None and socket.due == at:
                 socket.due = 0.0
-                closes.append(Close(id, socket.why))
+                closes.append(Close(id, socket.reason))
         return closes, self._schedule[0][0] if self._schedule else 0.0
 
     def rebalance(self, now: float) -> list[Close]:
--- a/covetally/websocket/relay.py
+++ b/covetally/websocket/relay.py
@@ -1,13 +1,14 @@
-"""One open socket: two connections, what goes between them, and how they end.
+"""One open socket: relays frames between its two connections and closes both.
 
-    OPEN       frames go both ways as they come
-    CLOSING    a close frame is on its way to one side or both; what is awaited is the other's, for close_s
-    ENDED      both connections are closed, and it has been told once
+    OPEN       forwards frames in both directions                       -> CLOSING, ENDED
+    CLOSING    has sent a close frame to one side or both, and waits
+               up to close_s for theirs                                 -> ENDED
+    ENDED      both connections are closed; on_ended is called once
 
-A close that one side sends goes through to the other, and so does the answer to it: then neither the code nor
-the reason is ours. What this sidecar says itself (a drain, a side that is lost, slow, silent or at fault) goes to
-both, each with the code that fits it. A close frame can only be put between two frames; where a long one is cut
-in the middle, whoever was getting it sees a reset, so that the part cannot pass for the whole.
+A close frame of one side is forwarded to the other, and so is the answer to it, so code and reason are theirs. If
+the sidecar closes the socket itself (a drain, or a side that is lost, slow, silent or at fault), it sends a close
+frame to both sides, each with the code that applies to it. A close frame can only be inserted between two frames:
+if a long frame is cut in the middle, its receiver gets a reset, so that the part cannot pass for the whole.
 """
 
 from __future__ import annotations
@@ -31,18 +32,19 @@
     POLICY_VIOLATION,
     TRY_AGAIN_LATER,
     FrameParser,
-    ParsedFrames,
     Limits,
+    ParsedFrames,
     ProtocolViolation,
     encode_close,
     encode_control,
 )
 from covetally.websocket.liveness import CLIENT, NODE, Liveness, LivenessEvent, LivenessTimeouts
 
-RECEIVE = 64 * 1024  # one read
-OWN = b"cs"  # pings of ours begin so
-RATE_BURST_S = 2.0  # frames of so many seconds may come at once
-FAULTS = frozenset(
+RECEIVE_BYTES = 64 * 1024  # bytes of one read
+PING_PREFIX = b"cs"  # the payload of pings of this sidecar starts with it
+RATE_BURST_S = 2.0  # burst of the frame rate limit, in seconds of that rate
+# Causes that are logged as warnings.
+FAULT_CAUSES = frozenset(
     (
         "slow client",
         "slow node",
@@ -53,13 +55,13 @@
         "node too fast",
         "cut in a frame",
     )
-)  # what somebody should know of
-_landing = memoryview(bytearray(RECEIVE))  # shared: filled and emptied within one callback
-_RESET = struct.pack("ii", 1, 0)  # struct linger: on, for no time at all
+)
+_receive_buffer = memoryview(bytearray(RECEIVE_BYTES))  # shared: filled and emptied within one callback
+_LINGER_RESET = struct.pack("ii", 1, 0)  # struct linger: on, 0 s, so that close() sends a reset
 
 
 class State(enum.Enum):
-    """See the module's head."""
+    """The state of a relay; see the module docstring."""
 
     OPEN = "open"
     CLOSING = "closing"
@@ -67,137 +69,140 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
-    """What holds for a socket. Bytes, frames a second, seconds."""
+class RelayConfig:
+    """The settings of a socket, in bytes, frames per second and seconds."""
 
     limits: Limits
     frames_per_s: float
-    buffer: int  # bytes that may wait for a side before the other is not read any more
+    buffer: int  # bytes that may be queued for a side before reading from the other pauses
     close_s: float
-    patience: LivenessTimeouts
+    timeouts: LivenessTimeouts
 
 
 class _Side:
-    """One of the two connections."""
+    """The state of one of the two connections."""
 
     __slots__ = (
-        "close_got", "close_sent", "fd", "frames", "got", "lost", "number", "out", "owed", "reading", "sock",
-        "tokens", "tokens_at", "waiting", "writing",
+        "close_received", "close_sent", "closed", "fd", "frame_count", "index", "parser", "pending_frame",
+        "queue", "queued_bytes", "reading", "sock", "tokens", "tokens_at", "writing",
     )  # fmt: skip
 
-    def __init__(self, number: int, sock: socket.socket, limits: Limits, tokens: float, now: float) -> None:
-        self.number, self.sock, self.fd = number, sock, sock.fileno()
-        self.frames = FrameParser(number == CLIENT, limits)  # what it sends
-        self.out: deque[bytes] = deque()  # what waits to be sent to it
-        self.waiting = 0  # bytes of that
+    def __init__(self, index: int, sock: socket.socket, limits: Limits, tokens: float, now: float) -> None:
+        self.index, self.sock, self.fd = index, sock, sock.fileno()
+        self.parser = FrameParser(index == CLIENT, limits)  # for its input
+        self.queue: deque[bytes] = deque()  # output that is waiting to be sent
+        self.queued_bytes = 0  # bytes in `queue`
         self.reading = self.writing = False
-        self.lost = False
-        self.owed = b""  # a frame of ours that waits for the end of a long one
-        self.close_sent: int | None = None  # a close frame has been put into what is sent to it,
-        self.close_got: int | None = None  # and one has come from it
+        self.closed = False
+        self.pending_frame = b""  # a frame of the sidecar that waits for the end of a long frame
+        self.close_sent: int | None = None  # code of the close frame sent to it
+        self.close_received: int | None = None  # code of the close frame received from it
         self.tokens, self.tokens_at = tokens, now
-        self.got = 0  # frames from it
+        self.frame_count = 0  # frames received from it
 
 
-class Ending(NamedTuple):
-    """How a socket ended: why, and the close code that each side was sent and sent itself (None: none)."""
+class RelayResult(NamedTuple):
+    """The cause of a socket's end, and the close codes sent to and received from each side (None: none)."""
 
-    why: str
-    sent: tuple[int | None, int | None]
-    got: tuple[int | None, int | None]
+    cause: str
+    codes_sent: tuple[int | None, int | None]
+    codes_received: tuple[int | None, int | None]
 
 
 class Relay:
-    """One socket. `ended` is told once, never from within `__init__` or `close`; `hung` when the node says
-    nothing for too long."""
+    """Relays one socket. `on_ended` is called once, never from within `__init__` or `close`; `on_unresponsive` is
+    called if the node is silent for too long."""
 
     __slots__ = (
-        "_close_at", "_hung", "_liveness", "_look_at", "_loop", "_terms", "_timer", "_wheel", "ended", "id",
-        "node", "sides", "state", "tenant", "why",
+        "_closing_deadline", "_config", "_liveness", "_loop", "_on_ended", "_on_unresponsive", "_timer",
+        "_timer_at", "_wheel", "cause", "id", "node", "sides", "state", "tenant",
     )  # fmt: skip
 
     def __init__(
         self, id: int, node: str, tenant: str, client: tuple[socket.socket, bytes],
-        server: tuple[socket.socket, bytes], terms: Terms, wheel: TimerWheel, luck: float,
-        ended: Callable[[Relay, Ending], None], hung: Callable[[Relay], None],
+        server: tuple[socket.socket, bytes], config: RelayConfig, wheel: TimerWheel, jitter: float,
+        on_ended: Callable[[Relay, RelayResult], None], on_unresponsive: Callable[[Relay], None],
     ) -> None:  # fmt: skip
         self.id, self.node, self.tenant = id, node, tenant
         self._loop = asyncio.get_running_loop()
-        self._terms, self._wheel = terms, wheel
-        self.ended, self._hung = ended, hung
-        self.state, self.why = State.OPEN, ""
+        self._config, self._wheel = config, wheel
+        self._on_ended, self._on_unresponsive = on_ended, on_unresponsive
+        self.state, self.cause = State.OPEN, ""
         now = self._loop.time()
-        self._liveness = Liveness(terms.patience, luck, now)
-        burst = terms.frames_per_s * RATE_BURST_S
+        self._liveness = Liveness(config.timeouts, jitter, now)
+        burst = config.frames_per_s * RATE_BURST_S
         self.sides = (
-            _Side(CLIENT, client[0], terms.limits, burst, now), _Side(NODE, server[0], terms.limits, burst, now)
+            _Side(CLIENT, client[0], config.limits, burst, now), _Side(NODE, server[0], config.limits, burst, now)
         )  # fmt: skip
-        self._close_at = 0.0
+        self._closing_deadline = 0.0
         self._timer: Timer | None = None
-        self._look_at = 0.0
+        self._timer_at = 0.0
         for side, early in zip(self.sides, (client[1], server[1]), strict=True):
-            side.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, terms.buffer)
-            self._read(side, True)
-            if early:  # it came right behind the handshake
-                self._loop.call_soon(self._early, side, early)
-        self._wait()
+            side.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, config.buffer)
+            self._set_reading(side, True)
+            if early:  # sent right after the handshake
+                self._loop.call_soon(self._on_early_input, side, early)
+        self._schedule_check()
 
     # --- time -----------------------------------------------------------------------------------
 
-    def _wait(self) -> None:
-        """Have a timer for whatever comes first; one that comes too early looks again."""
+    def _schedule_check(self) -> None:
+        """Schedule the timer for the next check; a timer that fires too early is scheduled again."""
         if self.state is State.ENDED:
             return
-        at = self._close_at or self._liveness.next_check_at(self._loop.time())
+        at = self._closing_deadline or self._liveness.next_check_at(self._loop.time())
         if self._timer is not None:
-            if self._look_at <= at:
+            if self._timer_at <= at:
                 return
             self._timer.cancel()
-        self._look_at = at
-        self._timer = self._wheel.call_at(at, self._look)
+        self._timer_at = at
+        self._timer = self._wheel.call_at(at, self._on_timer)
 
-    def _look(self) -> None:
+    def _on_timer(self) -> None:
+        """Run the checks that are due, or end a closing handshake that takes too long."""
         self._timer = None
         now = self._loop.time()
         if self.state is State.CLOSING:
-            if now >= self._close_at:
-                self._end()
+            if now >= self._closing_deadline:
+                self._finish()
             else:
-                self._wait()
+                self._schedule_check()
             return
-        for number, verdict in self._liveness.check(now):
+        for index, event in self._liveness.check(now):
             if self.state is not State.OPEN:
                 return
-            self._judge(number, verdict)
-        self._wait()
-
-    def _judge(self, number: int, verdict: LivenessEvent) -> None:
-        side = self.sides[number]
-        if verdict is LivenessEvent.PING:
-            payload = OWN + os.urandom(6)
-            side.frames.own_pings.add(payload)
-            self._say(side, encode_control(PING, payload, number == NODE))
-        elif verdict is LivenessEvent.IDLE:
+            self._handle_event(index, event)
+        self._schedule_check()
+
+    def _handle_event(self, index: int, event: LivenessEvent) -> None:
+        """Send the ping, or close the socket, that a liveness event requires."""
+        side = self.sides[index]
+        if event is LivenessEvent.PING:
+            payload = PING_PREFIX + os.urandom(6)
+            side.parser.own_pings.add(payload)
+            self._insert_frame(side, encode_control(PING, payload, index == NODE))
+        elif event is LivenessEvent.IDLE:
             self.close("idle", GOING_AWAY, GOING_AWAY, "nothing was said for too long")
-        elif verdict is LivenessEvent.SLOW:
-            if number == CLIENT:
+        elif event is LivenessEvent.SLOW:
+            if index == CLIENT:
                 self.close("slow client", POLICY_VIOLATION, GOING_AWAY, "too slow a reader")
             else:
                 self.close("slow node", TRY_AGAIN_LATER, POLICY_VIOLATION, "too slow a reader")
-        elif number == CLIENT:
+        elif index == CLIENT:
             self.close("silent client", GOING_AWAY, GOING_AWAY, "no sign of life")
         else:
-            self._hung(self)
+            self._on_unresponsive(self)
             self.close("stalled node", INTERNAL_ERROR, GOING_AWAY, "the node is silent")
 
     # --- reading --------------------------------------------------------------------------------
 
-    def _read(self, side: _Side, reading: bool) -> None:
-        if side.reading != reading and not side.lost:
+    def _set_reading(self, side: _Side, reading: bool) -> None:
+        """Resume or pause reading from a side."""
+        if side.reading != reading and not side.closed:
             side.reading = reading
             if reading:
-                told = self._readable_client if side.number == CLIENT else self._readable_node
-                self._loop.add_reader(side.fd, told)
+                callback = self._readable_client if side.index == CLIENT else self._readable_node
+                self._loop.add_reader(side.fd, callback)
             else:
                 self._loop.remove_reader(side.fd)
 
@@ -209,58 +214,60 @@
 
     def _readable(self, side: _Side) -> None:
         try:
-            count = side.sock.recv_into(_landing)
+            count = side.sock.recv_into(_receive_buffer)
         except (BlockingIOError, InterruptedError):
             return
         except OSError:
             count = 0
         if count:
-            self._take(side, bytes(_landing[:count]))
+            self._on_input(side, bytes(_receive_buffer[:count]))
         else:
-            self._lose(side)
+            self._on_disconnect(side)
 
-    def _early(self, side: _Side, data: bytes) -> None:
+    def _on_early_input(self, side: _Side, data: bytes) -> None:
         if self.state is not State.ENDED:
-            self._take(side, data)
+            self._on_input(side, data)
 
-    def _take(self, side: _Side, data: bytes) -> None:
-        """Bytes have come from a side: what of them is for the other goes on."""
-        other = self.sides[1 - side.number]
+    def _on_input(self, side: _Side, data: bytes) -> None:
+        """Parse input from a side and forward it to the other side."""
+        other = self.sides[1 - side.index]
         try:
-            got = side.frames.feed(data)
+            parsed = side.parser.feed(data)
         except ProtocolViolation as violation:
-            self._pass(side, other, violation.parsed)
-            if side.number == CLIENT:
+            self._forward(side, other, violation.parsed)
+            if side.index == CLIENT:
                 self.close("client at fault", violation.code, GOING_AWAY, violation.reason)
             else:
                 self.close("node at fault", INTERNAL_ERROR, violation.code, violation.reason)
             return
-        self._liveness.record_input(side.number, self._loop.time(), got.messages > 0)
-        if got.frames and self._terms.frames_per_s and not self._within_rate(side, got.frames):
-            self.close(f"{'client' if side.number == CLIENT else 'node'} too fast",
-                       *((POLICY_VIOLATION, GOING_AWAY) if side.number == CLIENT
+        self._liveness.record_input(side.index, self._loop.time(), parsed.messages > 0)
+        if parsed.frames and self._config.frames_per_s and not self._within_rate(side, parsed.frames):
+            self.close(f"{'client' if side.index == CLIENT else 'node'} too fast",
+                       *((POLICY_VIOLATION, GOING_AWAY) if side.index == CLIENT
                          else (INTERNAL_ERROR, POLICY_VIOLATION)),
                        "too many frames a second")  # fmt: skip
             return
-        self._pass(side, other, got)
-        if got.close is not None and self.state is not State.ENDED:
-            self._closed_by(side, other, got.close[0])
-
-    def _pass(self, side: _Side, other: _Side, got: ParsedFrames) -> None:
-        side.got += got.frames
-        if other.close_sent is not None or other.lost:
-            return  # it must not have anything after a close frame
-        for piece in got.forward:
-            self._send(other, piece)
-        if other.owed and side.frames.at_frame_boundary:
-            owed, other.owed = other.owed, b""
-            self._send(other, owed)
-        if other.waiting > self._terms.buffer and side.reading:
-            self._read(side, False)
-            self._liveness.set_reading(side.number, self._loop.time(), False)
+        self._forward(side, other, parsed)
+        if parsed.close is not None and self.state is not State.ENDED:
+            self._on_close_frame(side, other, parsed.close[0])
+
+    def _forward(self, side: _Side, other: _Side, parsed: ParsedFrames) -> None:
+        """Forward parsed input; pauses reading if too much output is queued for the other side."""
+        side.frame_count += parsed.frames
+        if other.close_sent is not None or other.closed:
+            return  # nothing may follow a close frame
+        for chunk in parsed.forward:
+            self._send(other, chunk)
+        if other.pending_frame and side.parser.at_frame_boundary:
+            frame, other.pending_frame = other.pending_frame, b""
+            self._send(other, frame)
+        if other.queued_bytes > self._config.buffer and side.reading:
+            self._set_reading(side, False)
+            self._liveness.set_reading(side.index, self._loop.time(), False)
 
     def _within_rate(self, side: _Side, frames: int) -> bool:
-        now, rate = self._loop.time(), self._terms.frames_per_s
+        """Return whether a side keeps to the frame rate limit (a token bucket)."""
+        now, rate = self._loop.time(), self._config.frames_per_s
         side.tokens = min(rate * RATE_BURST_S, side.tokens + (now - side.tokens_at) * rate) - frames
         side.tokens_at = now
         return side.tokens >= 0
@@ -268,33 +275,34 @@
     # --- writing --------------------------------------------------------------------------------
 
     def _send(self, side: _Side, data: bytes) -> None:
-        if side.lost:
+        """Send data to a side; what its socket does not take is queued."""
+        if side.closed:
             return
-        if not side.waiting:
+        if not side.queued_bytes:
             try:
                 count = side.sock.send(data)
             except (BlockingIOError, InterruptedError):
                 count = 0
             except OSError:
-                self._lose(side)
+                self._on_disconnect(side)
                 return
             if count == len(data):
                 return
             data = data[count:]
-            self._liveness.record_output(side.number, self._loop.time(), True)
-            told = self._writable_client if side.number == CLIENT else self._writable_node
-            self._loop.add_writer(side.fd, told)
+            self._liveness.record_output(side.index, self._loop.time(), True)
+            callback = self._writable_client if side.index == CLIENT else self._writable_node
+            self._loop.add_writer(side.fd, callback)
             side.writing = True
-            self._wait()
-        side.out.append(data)
-        side.waiting += len(data)
+            self._schedule_check()
+        side.queue.append(data)
+        side.queued_bytes += len(data)
 
-    def _say(self, side: _Side, frame: bytes) -> None:
-        """Put in a frame of ours: now, or at the end of a long one that is going through."""
-        if self.sides[1 - side.number].frames.at_frame_boundary:
+    def _insert_frame(self, side: _Side, frame: bytes) -> None:
+        """Send a frame of the sidecar now, or after the long frame that is being forwarded."""
+        if self.sides[1 - side.index].parser.at_frame_boundary:
             self._send(side, frame)
         else:
-            side.owed += frame
+            side.pending_frame += frame
 
     def _writable_client(self) -> None:
         self._writable(self.sides[CLIENT])
@@ -303,154 +311,162 @@
         self._writable(self.sides[NODE])
 
     def _writable(self, side: _Side) -> None:
+        """Send queued output; resumes reading from the other side once enough has been sent."""
         try:
-            while side.out:
-                piece = side.out[0]
-                count = side.sock.send(piece)
-                side.waiting -= count
-                if count < len(piece):
-                    side.out[0] = piece[count:]
+            while side.queue:
+                chunk = side.queue[0]
+                count = side.sock.send(chunk)
+                side.queued_bytes -= count
+                if count < len(chunk):
+                    side.queue[0] = chunk[count:]
                     break
-                side.out.popleft()
+                side.queue.popleft()
         except (BlockingIOError, InterruptedError):
             pass
         except OSError:
-            self._lose(side)
+            self._on_disconnect(side)
             return
         now = self._loop.time()
-        self._liveness.record_output(side.number, now, bool(side.out))
-        if not side.out:
+        self._liveness.record_output(side.index, now, bool(side.queue))
+        if not side.queue:
             self._loop.remove_writer(side.fd)
             side.writing = False
-        other = self.sides[1 - side.number]
-        if side.waiting <= self._terms.buffer // 2 and not other.reading and not other.lost:
-            self._read(other, True)
-            self._liveness.set_reading(other.number, now, True)
+        other = self.sides[1 - side.index]
+        if side.queued_bytes <= self._config.buffer // 2 and not other.reading and not other.closed:
+            self._set_reading(other, True)
+            self._liveness.set_reading(other.index, now, True)
         if self.state is State.CLOSING:
-            self._settle()
+            self._close_finished_sides()
 
-    # --- the end --------------------------------------------------------------------------------
+    # --- closing --------------------------------------------------------------------------------
 
-    def close(self, why: str, client_code: int, node_code: int, reason: str) -> None:
-        """Close it from here: a close frame to each side that can still have one. Nothing happens if it is
+    def close(self, cause: str, client_code: int, node_code: int, reason: str) -> None:
+        """Close the socket: send a close frame to each side that can still get one. Does nothing if it is
         closing already."""
         if self.state is not State.OPEN:
             return
-        self._begin_close(why)
+        self._start_closing(cause)
         for side, code in zip(self.sides, (client_code, node_code), strict=True):
-            self._say_close(side, code, reason)
-        self._settle()
+            self._insert_close(side, code, reason)
+        self._close_finished_sides()
 
-    def _say_close(self, side: _Side, code: int, reason: str) -> None:
-        if side.close_sent is None and not side.lost:
-            self._say(side, encode_close(code, reason, side.number == NODE))
+    def _insert_close(self, side: _Side, code: int, reason: str) -> None:
+        """Send a close frame to a side unless it has got one."""
+        if side.close_sent is None and not side.closed:
+            self._insert_frame(side, encode_close(code, reason, side.index == NODE))
             side.close_sent = code
 
-    def _begin_close(self, why: str) -> None:
-        self.state, self.why = State.CLOSING, why
-        self._close_at = self._loop.time() + self._terms.close_s
-        self._wait()
+    def _start_closing(self, cause: str) -> None:
+        """Enter CLOSING and schedule its deadline."""
+        self.state, self.cause = State.CLOSING, cause
+        self._closing_deadline = self._loop.time() + self._config.close_s
+        self._schedule_check()
 
-    def _closed_by(self, side: _Side, other: _Side, code: int) -> None:
-        """A side has sent its close frame, which has been passed on if the other had none yet."""
-        side.close_got = code
+    def _on_close_frame(self, side: _Side, other: _Side, code: int) -> None:
+        """Handle the close frame of a side; it has been forwarded unless the other side had got one already."""
+        side.close_received = code
         if other.close_sent is None:
             other.close_sent = code
         if self.state is State.OPEN:
-            self._begin_close(f"closed by the {'client' if side.number == CLIENT else 'node'}")
-        self._settle()
+            self._start_closing(f"closed by the {'client' if side.index == CLIENT else 'node'}")
+        self._close_finished_sides()
 
-    def _settle(self) -> None:
-        """End each connection whose part is done. Towards a client this is the server, which closes first (RFC
-        6455, 7.1.1); a node closes first."""
+    def _close_finished_sides(self) -> None:
+        """Close each connection whose closing handshake is complete. The server closes first (RFC 6455, 7.1.1):
+        towards the client that is this sidecar. Towards the node it is the node, whose connection is therefore
+        closed here only after the client's."""
         if self.state is not State.CLOSING:
             return
         client, node = self.sides
         for side, other in ((client, node), (node, client)):
-            if other.close_sent is not None:  # what comes is dropped; unread it would make a reset of the end
-                self._read(side, True)
-        if not client.lost and self._said_all(client) and client.close_got is not None:
-            self._drop(client)
-        if not node.lost and client.lost and self._said_all(node) and node.close_got is not None:
-            self._drop(node)
-        if client.lost and node.lost:
-            self._end()
-
-    def _said_all(self, side: _Side) -> bool:
-        return side.close_sent is not None and not side.waiting and not side.owed
-
-    def _lose(self, side: _Side) -> None:
-        """Its connection has ended or broken."""
-        if side.lost:
+            if other.close_sent is not None:  # input is dropped; unread input would turn the close into a reset
+                self._set_reading(side, True)
+        if not client.closed and self._close_delivered(client) and client.close_received is not None:
+            self._close_connection(client)
+        if not node.closed and client.closed and self._close_delivered(node) and node.close_received is not None:
+            self._close_connection(node)
+        if client.closed and node.closed:
+            self._finish()
+
+    def _close_delivered(self, side: _Side) -> bool:
+        """Return whether the whole close frame of a side has been sent."""
+        return side.close_sent is not None and not side.queued_bytes and not side.pending_frame
+
+    def _on_disconnect(self, side: _Side) -> None:
+        """Handle the end or failure of a side's connection."""
+        if side.closed:
             return
-        whole = side.frames.at_frame_boundary and not side.frames.buffered_bytes
-        self._drop(side)
+        between_frames = side.parser.at_frame_boundary and not side.parser.buffered_bytes
+        self._close_connection(side)
         if self.state is State.ENDED:
             return
-        other = self.sides[1 - side.number]
-        if not side.frames.at_frame_boundary and not other.lost and other.close_sent is None:
-            # In the middle of a frame that was going through: nothing that is put in now could be understood.
-            self._begin_close("cut in a frame" if self.state is State.OPEN else self.why)
-            self._drop(other, reset=True)
-            self._end()
+        other = self.sides[1 - side.index]
+        if not side.parser.at_frame_boundary and not other.closed and other.close_sent is None:
+            # A frame was cut in the middle of forwarding: an inserted frame would be read as part of its payload.
+            self._start_closing("cut in a frame" if self.state is State.OPEN else self.cause)
+            self._close_connection(other, reset=True)
+            self._finish()
             return
         if self.state is State.OPEN:
-            if side.number == CLIENT:
+            if side.index == CLIENT:
                 self.close("client lost", GOING_AWAY, GOING_AWAY, "the client is gone")
             else:
-                words = "the node is gone" if whole else "the node is gone, in the middle of a frame"
-                self.close("node lost", INTERNAL_ERROR, GOING_AWAY, words)
-        elif other.close_sent is None:  # it was closing for the other, which has not been told
-            self._say_close(
-                other, INTERNAL_ERROR if side.number == NODE else GOING_AWAY, "the other side is gone"
+                reason = "the node is gone" if between_frames else "the node is gone, in the middle of a frame"
+                self.close("node lost", INTERNAL_ERROR, GOING_AWAY, reason)
+        elif other.close_sent is None:  # the other side has not got a close frame yet
+            self._insert_close(
+                other, INTERNAL_ERROR if side.index == NODE else GOING_AWAY, "the other side is gone"
             )
-        self._settle()
+        self._close_finished_sides()
 
-    def _drop(self, side: _Side, reset: bool = False) -> None:
-        """Close its connection."""
-        if side.lost:
+    def _close_connection(self, side: _Side, reset: bool = False) -> None:
+        """Close the connection of a side."""
+        if side.closed:
             return
-        side.lost = True
+        side.closed = True
         if side.reading:
             self._loop.remove_reader(side.fd)
         if side.writing:
             self._loop.remove_writer(side.fd)
         side.reading = side.writing = False
-        side.out.clear()
-        side.waiting, side.owed = 0, b""
+        side.queue.clear()
+        side.queued_bytes, side.pending_frame = 0, b""
         if reset:
             with suppress(OSError):
-                side.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET)
+                side.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _LINGER_RESET)
         side.sock.close()
 
-    def abort(self, why: str) -> None:
-        """End both connections now."""
+    def abort(self, cause: str) -> None:
+        """Close both connections immediately."""
         if self.state is not State.ENDED:
-            self.why = self.why or why
-            self._end()
+            self.cause = self.cause or cause
+            self._finish()
 
-    def _end(self) -> None:
+    def _finish(self) -> None:
+        """Close both connections and schedule the on_ended callback."""
         if self.state is State.ENDED:
             return
         self.state = State.ENDED
         if self._timer is not None:
             self._timer.cancel()
         for side in self.sides:
-            # A side that had its close frame whole has an end in good order; any other sees a reset.
-            self._drop(side, reset=not self._said_all(side))
+            # A side that was sent its whole close frame gets an orderly close, any other side a reset.
+            self._close_connection(side, reset=not self._close_delivered(side))
         client, node = self.sides
-        ending = Ending(self.why, (client.close_sent, node.close_sent), (client.close_got, node.close_got))
-        self._loop.call_soon(self.ended, self, ending)
+        result = RelayResult(
+            self.cause, (client.close_sent, node.close_sent), (client.close_received, node.close_received)
+        )
+        self._loop.call_soon(self._on_ended, self, result)
 
-    def greet(self, data: bytes) -> None:
-        """What the client is told first."""
+    def send_handshake_response(self, data: bytes) -> None:
+        """Send the handshake response to the client."""
         self._send(self.sides[CLIENT], data)
 
     @property
-    def node_heard_at(self) -> float:
-        """When the node last sent something here, on the loop's clock."""
+    def last_node_frame_at(self) -> float:
+        """The event loop's time of the node's last frame."""
         return self._liveness.sides[NODE].last_frame_at
 
     def silent_s(self) -> float:
-        """For how long the quieter side has said nothing."""
+        """Return the longer silence of the two sides, in seconds."""
         return self._liveness.silent_s(self._loop.time())
--- a/covetally/websocket/settings.py
+++ b/covetally/websocket/settings.py
@@ -1,4 +1,4 @@
-"""What the operators' file says of WebSockets, and what it takes."""
+"""The WebSocket settings of the operators' file."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """What holds for upgrades of a path and all below it. `cls` and `tenant` are places in the settings, -1 where
-    the request has to tell."""
+    """The settings of upgrades of a path and all paths below it. `cls` and `tenant` are indices into the classes
+    and tenants of the settings, or -1 if the request must name them."""
 
     path: str
     cls: int
@@ -27,21 +27,21 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Plan:
-    """All of it. Bytes, frames a second, seconds."""
+class WebSocketConfig:
+    """The WebSocket settings of a sidecar, in bytes, frames per second and seconds."""
 
-    bounds: PolicyConfig
+    policy: PolicyConfig
     per_node: int
-    patience: LivenessTimeouts
+    timeouts: LivenessTimeouts
     max_frame: int
     max_message: int
     frames_per_s: float
     buffer: int
     close_s: float
-    routes: tuple[Route, ...]  # the longest path first; the last one fits any
+    routes: tuple[Route, ...]  # longest path first; the last one matches every path
 
     def route(self, target: str) -> Route:
-        """The route of a request's path."""
+        """Return the route of a request target."""
         path = target.partition("?")[0]
         for route in self.routes:
             if path.startswith(route.path) and path[len(route.path) : len(route.path) + 1] in ("", "/"):
@@ -49,8 +49,9 @@
         return self.routes[-1]
 
 
-def plan(values: Mapping[str, Value], settings: Settings) -> Plan | None:
-    """The plan, None where no sockets are wanted; OperatorError where it does not fit the platform's settings."""
+def websocket_config(values: Mapping[str, Value], settings: Settings) -> WebSocketConfig | None:
+    """Return the configuration, None if WebSockets are off. Raises OperatorError if a value does not fit the
+    platform's settings."""
     if "websocket.sockets" not in values:
         return None
 
@@ -59,20 +60,20 @@
 
     sockets = int(values["websocket.sockets"])
     idle_s, deadline_ns = number("idle_s", 0.0), max(c.deadline_ns for c in settings.classes)
-    routes = [Route("", _place(values, "websocket.class", settings), -1, deadline_ns, idle_s)]
+    routes = [Route("", _index_of(values, "websocket.class", settings), -1, deadline_ns, idle_s)]
     for name in {key.split(".", 1)[1].rpartition(".")[0] for key in values if key.startswith("upgrades.")}:
-        head = f"upgrades.{name}"
-        if f"{head}.path" not in values:
-            raise OperatorError([Problem(f"{head}.path", None, "is missing", "set it, or leave the route out")])
+        prefix = f"upgrades.{name}"
+        if f"{prefix}.path" not in values:
+            raise OperatorError([Problem(f"{prefix}.path", None, "is missing", "set it, or remove the route")])
         routes.append(Route(
-            str(values[f"{head}.path"]).rstrip("/"),
-            _place(values, f"{head}.class", settings) if f"{head}.class" in values else routes[0].cls,
-            _place(values, f"{head}.tenant", settings),
-            int(float(values.get(f"{head}.handshake_ms", deadline_ns / 1e6)) * SECOND / 1000),
-            float(values.get(f"{head}.idle_s", idle_s)),
+            str(values[f"{prefix}.path"]).rstrip("/"),
+            _index_of(values, f"{prefix}.class", settings) if f"{prefix}.class" in values else routes[0].cls,
+            _index_of(values, f"{prefix}.tenant", settings),
+            int(float(values.get(f"{prefix}.handshake_ms", deadline_ns / 1e6)) * SECOND / 1000),
+            float(values.get(f"{prefix}.idle_s", idle_s)),
         ))  # fmt: skip
     routes.sort(key=lambda route: -len(route.path))
-    return Plan(
+    return WebSocketConfig(
         PolicyConfig(
             sockets, int(number("per_tenant", sockets)), number("drain_s", 20.0), number("back_s", 10.0),
             number("rebalance_per_s", 0.0),
@@ -88,14 +89,14 @@
     )  # fmt: skip
 
 
-def _place(values: Mapping[str, Value], key: str, settings: Settings) -> int:
-    """The place of the class or tenant that a key names; -1 where it names none."""
+def _index_of(values: Mapping[str, Value], key: str, settings: Settings) -> int:
+    """Return the index of the class or tenant that a key names, -1 if the key is not set."""
     if key not in values:
         return -1
-    many = settings.tenants if key.endswith("tenant") else settings.classes
-    names = [one.name for one in many]
+    members = settings.tenants if key.endswith("tenant") else settings.classes
+    names = [member.name for member in members]
     if values[key] not in names:
-        what = "tenant" if key.endswith("tenant") else "class"
+        kind = "tenant" if key.endswith("tenant") else "class"
         known = f"it has {', '.join(sorted(names))}" if names else "it has none"
-        raise OperatorError([Problem(key, values[key], f"this sidecar has no such {what}", known)])
+        raise OperatorError([Problem(key, values[key], f"this sidecar has no such {kind}", known)])
     return names.index(str(values[key]))
--- a/tests/websocket/test_parts.py
+++ b/tests/websocket/test_components.py
@@ -168,7 +168,7 @@
     moved = []
     for step in range(100):
         for close in policy.rebalance(step / 10):
-            assert close.why == "rebalance"
+            assert close.reason == "rebalance"
             policy.ended(close.id)
             policy.admit("a")
             policy.opened(step / 10, 100 + close.id, "n2", "a")
