--- a/covetally/errors/__init__.py
+++ b/covetally/errors/__init__.py
@@ -61,7 +61,7 @@
     """Received or stored data cannot be parsed."""
 
     code = "damaged"
-    remedy = "Check what wrote the data; it was ignored as a whole."
+    remedy = "Check the program that wrote the data; none of the data was used."
     status = 422
 
 
--- a/covetally/fleet/errors.py
+++ b/covetally/fleet/errors.py
@@ -8,11 +8,11 @@
 
 
 class AgentRefusedError(RefusedError):
-    """The agent does not do what an operator asks. `code` is conflict, busy, bad_input, unknown or recovering;
-    `data` has what the operator needs to know."""
+    """The agent refuses an operator's request. `code` is bad_input, unknown, conflict, busy, refused, unreachable
+    or recovering; `data` holds the details for the answer."""
 
     code = "agent-refused"
-    remedy = "Read what is in the way, and ask again once it is gone; the answer names it."
+    remedy = "Read the reason in the answer, and send the request again once it no longer applies."
 
     def __init__(self, code: str, text: str, **data: Any) -> None:
         super().__init__(text)
--- a/covetally/fleet/selector.py
+++ b/covetally/fleet/selector.py
@@ -20,10 +20,10 @@
 
 
 class SelectorError(ConfigurationError, ValueError):
-    """The text is no selector."""
+    """The text is not a valid selector."""
 
     code = "selector"
-    remedy = "Write a selector as in zone=milano,name=a*|b1, or leave it out for all."
+    remedy = "Write a selector such as zone=milano,name=a*|b1, or leave it out to select all instances."
 
 
 @dataclass(frozen=True, slots=True)
--- a/covetally/fleet/serve.py
+++ b/covetally/fleet/serve.py
@@ -33,10 +33,10 @@
 
 
 class StartError(ConfigurationError):
-    """The agent cannot start; one line says why."""
+    """The agent cannot start; the message gives the reason."""
 
     code = "agent-start"
-    remedy = "Mend what is named, and start the agent again."
+    remedy = "Correct the named problem, and start the agent again."
 
 
 @dataclass(frozen=True, slots=True)
--- a/covetally/fleet/store.py
+++ b/covetally/fleet/store.py
@@ -36,17 +36,20 @@
 
 
 class StoreError(DamagedError):
-    """The store cannot be used; the message names the file."""
+    """The agent's database cannot be used; the message names the file."""
 
     code = "store"
-    remedy = "Set the named file aside and start the agent anew: it learns the fleet from what sidecars report."
+    remedy = "Move the named file elsewhere and restart the agent; it recovers the settings that sidecars report."
 
 
 class CannotKeepError(CindersailError):
-    """The disk does not take what was to be kept. Nothing of it was done, and nothing is acknowledged."""
+    """A write to the disk failed. The change was rolled back and is not acknowledged."""
 
     code = "cannot-keep"
-    remedy = "Make room on the disk or mend it, then ask again: the agent goes on meanwhile with what it has."
+    remedy = (
+        "Make room on the disk or repair it, then send the request again; "
+        "the agent continues with its saved state."
+    )
     status = 503
 
 
--- a/covetally/fleet/supervisor.py
+++ b/covetally/fleet/supervisor.py
@@ -29,10 +29,10 @@
 
 
 class SuperviseError(ConfigurationError, ValueError):
-    """The file cannot be used; the message names the instance and the key."""
+    """The file of supervised instances cannot be used; the message names the instance and the key."""
 
     code = "supervise-file"
-    remedy = "Correct the named entry of the file that --supervise names."
+    remedy = "Correct the named entry in the file given to --supervise."
 
 
 @dataclass(frozen=True, slots=True)
--- a/covetally/fleet/tokens.py
+++ b/covetally/fleet/tokens.py
@@ -23,10 +23,10 @@
 
 
 class TokenError(ConfigurationError, ValueError):
-    """The file holds a mistake; the message names the line."""
+    """The tokens file has an invalid line; the message gives its number."""
 
     code = "token-file"
-    remedy = "Correct the named line of the tokens file; `cindersail agent --help` says its form."
+    remedy = "Correct the named line of the tokens file; `cindersail agent --help` shows the format."
 
 
 @dataclass(frozen=True, slots=True)
--- a/covetally/gossip/frame.py
+++ b/covetally/gossip/frame.py
@@ -26,7 +26,7 @@
 
 
 class MalformedMessageError(DamagedError):
-    """Bytes that are no word of this table.
+    """A datagram or its body is not a valid gossip message.
 
     Raised by `decode` for a datagram that is not a gossip message, by `encode` for a body that is too long, and
     by participants for a body that they cannot parse. The paragraph above and the remedy are printed in
@@ -34,7 +34,7 @@
     """
 
     code = "word-damaged"
-    remedy = "See that all sidecars of the tier run versions that speak with each other; it is dropped meanwhile."
+    remedy = "Check that all sidecars of the tier run compatible versions; the message is dropped."
 
 
 class Topic(enum.IntEnum):
--- a/covetally/membership/eureka/answer_parser.py
+++ b/covetally/membership/eureka/answer_parser.py
@@ -30,7 +30,7 @@
     """The answer is incomplete or not in Eureka's format; the message says where."""
 
     code = "registry-answer"
-    remedy = "Look at that registry; the last good list stays in force."
+    remedy = "Check that registry; the last good list stays in use."
 
 
 class JsonParser:
--- a/covetally/membership/eureka/instance_parser.py
+++ b/covetally/membership/eureka/instance_parser.py
@@ -23,10 +23,10 @@
 
 
 class InvalidInstance(DamagedError):
-    """The instance cannot be used; the message is the reason."""
+    """The registry's entry for an instance cannot be used; the message gives the reason."""
 
     code = "registry-entry"
-    remedy = "Correct that instance in the registry; the others count."
+    remedy = "Correct that instance in the registry; the other instances are used."
 
 
 @dataclass(frozen=True, slots=True)
--- a/covetally/membership/file.py
+++ b/covetally/membership/file.py
@@ -32,10 +32,10 @@
 
 
 class NodeFileError(DamagedError):
-    """The file cannot be used. The message is one line and names the key."""
+    """The node file cannot be used. The message is one line and names the key."""
 
     code = "roster-file"
-    remedy = "Correct the named line of the file of nodes; the last good list stays in force."
+    remedy = "Correct the named key in the node file; the last good list stays in use."
 
 
 def parse_nodes(text: str) -> dict[str, Member]:
--- a/covetally/net/server_list.py
+++ b/covetally/net/server_list.py
@@ -18,10 +18,12 @@
 
 
 class ListError(DamagedError):
-    """A list that cannot be used."""
+    """A server list is invalid or too long."""
 
     code = "list"
-    remedy = "Look at discovery; what came whole counts, and the rest is asked again."
+    remedy = (
+        "Check discovery; the entries before the first invalid one are used, and the list is requested again."
+    )
 
 
 class ListUpdate(NamedTuple):
--- a/covetally/operator/check.py
+++ b/covetally/operator/check.py
@@ -40,10 +40,10 @@
 
 
 class OperatorError(ConfigurationError):
-    """The settings cannot be used; `problems` lists every mistake, the message is one line."""
+    """The settings cannot be used; `problems` lists every mistake, and the message joins them in one line."""
 
     code = "operator-file"
-    remedy = "Correct each key named, and check the file with `cindersail check FILE` before it is used."
+    remedy = "Correct each named key, and check the file with `cindersail check FILE` before it is used."
 
     def __init__(self, problems: list[Problem]) -> None:
         super().__init__(" | ".join(map(str, problems)))
--- a/covetally/tier/wire.py
+++ b/covetally/tier/wire.py
@@ -40,14 +40,14 @@
 
 
 class MalformedDatagramError(DamagedError, ValueError):
-    """Bytes that are no message of this table.
+    """The datagram is not a valid message of the tier protocol.
 
     Raised by `decode` for a datagram that is not a message in this format. The paragraph above and the remedy are
     printed in docs/operators/errors.md (see covetally/errors/page.py).
     """
 
     code = "datagram"
-    remedy = "See that only sidecars of this tier send to peer_listen; it is dropped."
+    remedy = "Check that only sidecars of this tier send to peer_listen; the datagram is dropped."
 
 
 def encode(message: Message) -> bytes:
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -48,9 +48,9 @@
 
 
 def test_an_error_has_the_same_content_in_the_api_the_command_and_the_log():
-    error = CindersailError("it broke", "Mend it.")
-    assert error.as_dict() == {"code": "failed", "error": "it broke", "remedy": "Mend it."}
-    assert error.as_line() == "it broke [failed]: Mend it."
+    error = CindersailError("it broke", "Repair it.")
+    assert error.as_dict() == {"code": "failed", "error": "it broke", "remedy": "Repair it."}
+    assert error.as_line() == "it broke [failed]: Repair it."
     assert isinstance(AgentRefusedError("busy", "x"), CindersailError)
     assert client.BAD_INPUT == 2
 
