--- a/covetally/fleet/store.py
+++ b/covetally/fleet/store.py
@@ -46,7 +46,10 @@
     """A write to the disk failed. The change was rolled back and is not acknowledged."""
 
     code = "cannot-keep"
-    remedy = "Make room on the disk or repair it, then send the request again; the agent continues with its saved state."
+    remedy = (
+        "Make room on the disk or repair it, then send the request again; "
+        "the agent continues with its saved state."
+    )
     status = 503
 
 
