--- a/benchmarks/drainplan.py
+++ b/benchmarks/drainplan.py
@@ -17,7 +17,7 @@
 
 from benchmarks.report import progress, show
 from covetally.drainplan import Account, FloorError, Floors, Kind, Order, PodError, Unit, plan
-from covetally.drainplan.account import lacks
+from covetally.drainplan.fleet_state import lacks
 
 SCALE = 100  # CP-SAT counts in whole numbers
 
--- a/covetally/drainplan/__init__.py
+++ b/covetally/drainplan/__init__.py
@@ -1,6 +1,6 @@
 """Which sidecars and nodes go out, in which order and together with whom, so that no floor is broken. No I/O."""
 
-from covetally.drainplan.account import Account, Entry, State
+from covetally.drainplan.fleet_state import Account, Entry, State
 from covetally.drainplan.errors import FloorError, PodError
 from covetally.drainplan.plan import Order, Wave, plan
 from covetally.drainplan.units import Floors, Kind, Unit
--- a/covetally/drainplan/permits.py
+++ b/covetally/drainplan/permits.py
@@ -18,7 +18,7 @@
 from collections.abc import Iterable
 from dataclasses import asdict, dataclass, replace
 
-from covetally.drainplan.account import Account, State
+from covetally.drainplan.fleet_state import Account, State
 from covetally.drainplan.errors import EpochError, PermitError
 
 MOST_ENDED = 200  # kept to be looked at
--- a/covetally/drainplan/plan.py
+++ b/covetally/drainplan/plan.py
@@ -14,7 +14,7 @@
 from collections.abc import Iterable, Mapping, Sequence
 from dataclasses import dataclass
 
-from covetally.drainplan.account import Account, lacks
+from covetally.drainplan.fleet_state import Account, lacks
 from covetally.drainplan.errors import FloorError, PodError, UnitsError
 from covetally.drainplan.units import FLEET, Floors, Kind, Unit
 
--- a/covetally/drainplan/run.py
+++ b/covetally/drainplan/run.py
@@ -19,7 +19,7 @@
 from collections.abc import Collection
 from dataclasses import asdict, dataclass, field
 
-from covetally.drainplan.account import Account, State
+from covetally.drainplan.fleet_state import Account, State
 from covetally.drainplan.errors import FloorError, PermitError, PodError
 from covetally.drainplan.permits import Permits
 from covetally.drainplan.plan import plan
--- a/covetally/lab/line.py
+++ b/covetally/lab/line.py
@@ -13,7 +13,7 @@
 
 from covetally.lab.fleet import MS, SECOND, Fleet
 from covetally.overload import Member, Policy
-from covetally.overload.words import LineWord, decode, encode
+from covetally.overload.messages import LineWord, decode, encode
 from covetally.rig.schedule import WELL, Link, Schedule, Step
 from covetally.words import Word
 
--- a/covetally/overload/__init__.py
+++ b/covetally/overload/__init__.py
@@ -1,7 +1,7 @@
 """Who sheds what, decided by the whole fleet: one order of requests, one line across it. No I/O."""
 
-from covetally.overload.line import Line, Step
+from covetally.overload.threshold import Line, Step
 from covetally.overload.member import Member, Policy
-from covetally.overload.order import Order, rank
+from covetally.overload.priorities import Order, rank
 
 __all__ = ["Line", "Member", "Order", "Policy", "Step", "rank"]
--- a/covetally/overload/ladder.py
+++ b/covetally/overload/levels.py
@@ -8,7 +8,7 @@
 
 import math
 
-from covetally.overload.order import FIRST, RETRIES, SHARES
+from covetally.overload.priorities import FIRST, RETRIES, SHARES
 
 OPEN, NO_RETRIES, OWN_SHARES = 0, 1, 2
 STEP = 0.9
--- a/covetally/overload/member.py
+++ b/covetally/overload/member.py
@@ -8,14 +8,14 @@
 from typing import Any
 
 from covetally.interface import SECOND, Line as Told, Response, Settings
-from covetally.overload import ladder, times
-from covetally.overload.line import FALLS, Line, Vote
-from covetally.overload.order import Order, rank
+from covetally.overload import backoff, levels
+from covetally.overload.threshold import FALLS, Line, Vote
+from covetally.overload.priorities import Order, rank
 from covetally.overload.pins import Pin
-from covetally.overload.pressure import WINDOW_NS, Pressure
+from covetally.overload.load import WINDOW_NS, Pressure
 from covetally.overload.shares import Shares
-from covetally.overload.spending import RETRIES, gap_ns, saved
-from covetally.overload.words import Echo, LineWord, decode, encode
+from covetally.overload.budgets import RETRIES, gap_ns, saved
+from covetally.overload.messages import Echo, LineWord, decode, encode
 from covetally.words import Newest, Part, Word, first_number
 from covetally.words.shell import ALL, Send
 
@@ -68,10 +68,10 @@
     def place(self, name: bytes | str, cls: int, tenant: int, retry: bool) -> float:
         """A request's place in the one order; it counts as asked."""
         place = self._order.place(cls, rank(name), self.shares.within(tenant), retry)
-        let_in = place < ladder.place(self.line.rung)
+        let_in = place < levels.place(self.line.rung)
         self.pressure.asked(tenant, let_in)
         if not let_in:
-            self.refused[cls, ladder.name(self.line.rung)] += 1
+            self.refused[cls, levels.name(self.line.rung)] += 1
         return place
 
     def ended(self, served: bool) -> None:
@@ -117,7 +117,7 @@
         votes = [Vote(word.rung, word.seen, at) for word, at in words]
         self.line.look(now, own, votes, least, most)
         self.shares.look([own, *(word.seen for word, _ in words)], self.size)
-        well = self.line.rung == ladder.OPEN and self.line.load < FALLS and own.ratio < FALLS
+        well = self.line.rung == levels.OPEN and self.line.load < FALLS and own.ratio < FALLS
         if self._random() >= SPEAKERS / self.size / (QUIET if well else 1):
             return []
         self._number += 1
@@ -130,7 +130,7 @@
         pin = self.pin
         if pin is not None and now >= pin.until_ns:
             self.pin, self.lapsed, pin = None, pin, None
-        return (pin.least, pin.most) if pin is not None else (ladder.OPEN, ladder.LAST)
+        return (pin.least, pin.most) if pin is not None else (levels.OPEN, levels.LAST)
 
     def leave(self, now: int) -> list[Send]:
         """Nothing is owed to anybody: words lapse."""
@@ -143,8 +143,9 @@
         self._told_at = self.due
         rung = self.line.rung
         return [Told(
-            now + LASTS_NS, ladder.place(rung), times.hold_off_ns(rung, self._settings.limits.max_retry_after_ns),
-            RETRIES * ladder.retries_left(rung), saved(self.size),
+            now + LASTS_NS, levels.place(rung),
+            backoff.hold_off_ns(rung, self._settings.limits.max_retry_after_ns),
+            RETRIES * levels.retries_left(rung), saved(self.size),
             gap_ns(self.size, self.policy.trials_per_s), gap_ns(self.size, self.policy.connections_per_s),
         )]  # fmt: skip
 
@@ -157,7 +158,7 @@
         """For operators: which step holds, since when, why, what it refused."""
         line = self.line
         return {
-            "rung": line.rung, "step": ladder.name(line.rung), "for_s": round((now - line.since) / SECOND, 1),
+            "rung": line.rung, "step": levels.name(line.rung), "for_s": round((now - line.since) / SECOND, 1),
             "why": line.step.value, "load": round(line.load, 2), "voters": line.voters,
             "heard": sum(1 for _ in self._words.fresh(now)),
             "pin": self.pin.text if self.pin else "", "pin_for_s": self._left(now),
--- a/covetally/overload/words.py
+++ b/covetally/overload/messages.py
@@ -19,8 +19,8 @@
 from struct import Struct, error
 from typing import NamedTuple
 
-from covetally.overload.ladder import LAST
-from covetally.overload.pressure import Seen
+from covetally.overload.levels import LAST
+from covetally.overload.load import Seen
 from covetally.words import BadWord
 
 HEAD = Struct(">BBHHHHHHBB")
--- a/covetally/overload/pins.py
+++ b/covetally/overload/pins.py
@@ -7,9 +7,9 @@
 
 from covetally.errors import ConfigurationError
 from covetally.interface import SECOND
-from covetally.overload import ladder
+from covetally.overload import levels
 
-WORDS = {"open": ladder.OPEN, "no-retries": ladder.NO_RETRIES, "own-shares": ladder.OWN_SHARES}
+WORDS = {"open": levels.OPEN, "no-retries": levels.NO_RETRIES, "own-shares": levels.OWN_SHARES}
 MOST_S = 86_400.0
 
 
@@ -37,7 +37,7 @@
         raise BadPin(f"{text!r} is no pin")
     kind, rung, seconds = parts
     number = WORDS.get(rung, int(rung) if rung.isdecimal() else -1)
-    if not ladder.OPEN <= number <= ladder.LAST:
+    if not levels.OPEN <= number <= levels.LAST:
         raise BadPin(f"{rung!r} is no rung")
     try:
         lasts_s = float(seconds)
@@ -45,6 +45,6 @@
         raise BadPin(f"{seconds!r} is no time in seconds") from None
     if not 0 < lasts_s <= MOST_S:
         raise BadPin(f"{seconds} s is not between 0 and {MOST_S:g}")
-    least = ladder.OPEN if kind == "most" else number
-    most = ladder.LAST if kind == "least" else number
+    least = levels.OPEN if kind == "most" else number
+    most = levels.LAST if kind == "least" else number
     return Pin(least, most, now + int(lasts_s * SECOND), text)
--- a/covetally/overload/shares.py
+++ b/covetally/overload/shares.py
@@ -11,7 +11,7 @@
 from collections.abc import Sequence
 
 from covetally.interface import SECOND, Settings
-from covetally.overload.pressure import WINDOW_NS, WINDOWS, Seen
+from covetally.overload.load import WINDOW_NS, WINDOWS, Seen
 
 WINDOW_S = WINDOWS * WINDOW_NS / SECOND
 OVER = 1.1
--- a/covetally/overload/line.py
+++ b/covetally/overload/threshold.py
@@ -26,8 +26,8 @@
 from dataclasses import dataclass
 
 from covetally.interface import SECOND
-from covetally.overload import ladder
-from covetally.overload.pressure import WINDOW_NS, WINDOWS, Seen
+from covetally.overload import levels
+from covetally.overload.load import WINDOW_NS, WINDOWS, Seen
 
 VOTERS = 4
 WEIGHT = 1.5
@@ -85,7 +85,7 @@
 
     def __init__(self, now: int, size: int) -> None:
         self.size = size
-        self.rung = ladder.OPEN
+        self.rung = levels.OPEN
         self.since = now  # it has stood on this rung
         self.step = Step.ALONE
         self.load = self.behind = 0.0
@@ -94,13 +94,13 @@
         self._moved = self._decided = self._up_at = now - SECOND
 
     def look(
-        self, now: int, own: Seen, others: Sequence[Vote], least: int = ladder.OPEN, most: int = ladder.LAST
+        self, now: int, own: Seen, others: Sequence[Vote], least: int = levels.OPEN, most: int = levels.LAST
     ) -> int:
         """Decide anew; the rung to stand on, between `least` and `most` as operators have it."""
         votes = [*others, Vote(self.rung, own, now)]
         self.voters = sum(1 for vote in votes if vote.seen.weight)
         if self.voters < min(VOTERS, self.size):
-            self._stand(now, max(least, min(most, ladder.OPEN)), Step.ALONE)
+            self._stand(now, max(least, min(most, levels.OPEN)), Step.ALONE)
             return self.rung
         rungs = sorted(vote.rung for vote in votes)
         common = max(least, min(most, rungs[(len(rungs) - 1) // 2]))
@@ -132,22 +132,22 @@
         if self.load >= RISES:
             if self.behind < ENOUGH:
                 return rung
-            if rung < ladder.OWN_SHARES:
-                return ladder.OWN_SHARES
-            return min(ladder.LAST, rung + max(1, min(MOST_UP, self._rungs(votes))))
-        if rung == ladder.OPEN:
+            if rung < levels.OWN_SHARES:
+                return levels.OWN_SHARES
+            return min(levels.LAST, rung + max(1, min(MOST_UP, self._rungs(votes))))
+        if rung == levels.OPEN:
             return rung
         rungs = self._rungs(votes)
         if rungs >= 0 or (rungs == -1 and (self.load >= FALLS or now - self._up_at < CALM_NS)):
             return rung
         target = rung + rungs
         # Who is beyond its share, and then retries, come back one after the other: how much that is nobody knows.
-        return max(target, ladder.OWN_SHARES if rung > ladder.OWN_SHARES else rung - 1)
+        return max(target, levels.OWN_SHARES if rung > levels.OWN_SHARES else rung - 1)
 
     def _rungs(self, votes: Sequence[Vote]) -> int:
         """How many rungs up what is let in would be what nodes can do; negative: down."""
         admitted = sum(vote.seen.admitted for vote in votes) / len(votes)
-        return ladder.rungs_for(self.can_do / admitted) if admitted else -ladder.LAST
+        return levels.rungs_for(self.can_do / admitted) if admitted else -levels.LAST
 
     def _stand(self, now: int, rung: int, step: Step) -> None:
         self.step = step
--- a/covetally/spoken.py
+++ b/covetally/spoken.py
@@ -17,7 +17,7 @@
 from covetally.net.clock import Clock
 from covetally.net.frontend import Frontend
 from covetally.net.sidecar import Sidecar
-from covetally.overload.ladder import name as rung_name
+from covetally.overload.levels import name as rung_name
 from covetally.overload.member import Member
 from covetally.overload.pins import parse
 from covetally.overload.settings import Plan as LinePlan
--- a/tests/drainplan/test_plan.py
+++ b/tests/drainplan/test_plan.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from covetally.drainplan import Account, FloorError, Floors, Kind, Order, PodError, State, Unit, plan
-from covetally.drainplan.account import lacks
+from covetally.drainplan.fleet_state import lacks
 from covetally.drainplan.errors import EpochError, PermitError, UnitsError
 from covetally.drainplan.permits import MOST_ENDED, Permits, Stage, next_epoch
 from covetally.drainplan.plan import lower_bound
--- a/tests/drainplan/test_processes.py
+++ b/tests/drainplan/test_processes.py
@@ -144,7 +144,7 @@
 
 def test_the_checker_from_outside_finds_an_agent_that_does_not_ask_whether_anybody_is_there():
     async def main():
-        async with supervised("tests.drainplan.blind") as (world, watch):
+        async with supervised("tests.drainplan.agent_without_probes") as (world, watch):
             pid = (await pids(world))["a0"]
             os.kill(pid, signal.SIGSTOP)
             watch.faulty["a0"] = time.monotonic()
--- a/tests/overload/test_fleet.py
+++ b/tests/overload/test_fleet.py
@@ -7,7 +7,7 @@
 from covetally.interface import Settings
 from covetally.lab.fleet import SECOND, Books, ClassLoad, Fleet, NodeShape, Plan
 from covetally.lab.line import Lined, changed
-from covetally.overload.line import Line
+from covetally.overload.threshold import Line
 from covetally.rig import site
 from covetally.rig.schedule import Link, Schedule, Step
 
@@ -118,11 +118,11 @@
         assert in_time(play()[0]) < 0.75
     elif fault == "median":
         loudest = lambda votes: (max(v.seen.ratio for v in votes), 99.0)  # noqa: E731
-        monkeypatch.setattr("covetally.overload.line.load_of", loudest)
+        monkeypatch.setattr("covetally.overload.threshold.load_of", loudest)
         _, lined = play(lies={5: lambda now, word: changed(word, ratio=9.0, weight=20)}, high=200.0)
         assert {rung for _, _, rung in lined.samples} != {0}
     else:
-        monkeypatch.setattr("covetally.overload.line.SINCE_NS", -(10 * SECOND))
+        monkeypatch.setattr("covetally.overload.threshold.SINCE_NS", -(10 * SECOND))
         rungs = [rung for at, _, rung in play()[1].samples if 8 <= at < 13]
         steady = [rung for at, _, rung in play()[1].samples if 8 <= at < 13]
         assert rungs and steady and max(rungs) - min(rungs) >= 5
--- a/tests/overload/test_pressure.py
+++ b/tests/overload/test_load.py
@@ -5,7 +5,7 @@
 import pytest
 
 from covetally.interface import SECOND, How, Response, Settings
-from covetally.overload.pressure import LATE, WINDOW_NS, WINDOWS, Pressure
+from covetally.overload.load import LATE, WINDOW_NS, WINDOWS, Pressure
 from covetally.rig.site import settings
 
 CONFIG = Settings.parse(settings(0, 10, 0.25, 8000))
--- a/tests/overload/test_line.py
+++ b/tests/overload/test_threshold.py
@@ -7,12 +7,12 @@
 from hypothesis import strategies as st
 
 from covetally.interface import SECOND, Settings
-from covetally.overload import ladder, pins, spending
-from covetally.overload.line import VOTERS, Line, Step, Vote, load_of, weighted_median
-from covetally.overload.order import FIRST, RETRIES, SHARES, Order, rank
-from covetally.overload.pressure import Seen, reported_wait
+from covetally.overload import budgets, levels, pins
+from covetally.overload.threshold import VOTERS, Line, Step, Vote, load_of, weighted_median
+from covetally.overload.priorities import FIRST, RETRIES, SHARES, Order, rank
+from covetally.overload.load import Seen, reported_wait
 from covetally.overload.shares import Shares
-from covetally.overload.words import LineWord, decode, encode
+from covetally.overload.messages import LineWord, decode, encode
 from covetally.rig.site import settings
 from covetally.words import BadWord
 
@@ -59,8 +59,8 @@
     assert max(order.scales) == FIRST and min(order.scales) >= 1.0
     transfer = [c.name for c in CONFIG.classes].index("loan-transfer")
     assert order.scales[transfer] == min(order.scales)
-    for rung in range(ladder.OWN_SHARES, ladder.LAST + 1):
-        line = ladder.place(rung)
+    for rung in range(levels.OWN_SHARES, levels.LAST + 1):
+        line = levels.place(rung)
         let_in = [sum(order.place(c, i / 500, 1.0, False) < line for i in range(500)) for c in range(4)]
         assert min(let_in) * 2 >= max(let_in) - 2
 
@@ -80,17 +80,17 @@
 
 
 def test_each_rung_lets_in_less_than_the_one_below_and_has_a_name():
-    places = [ladder.place(rung) for rung in range(ladder.LAST + 1)]
+    places = [levels.place(rung) for rung in range(levels.LAST + 1)]
     assert places == sorted(places, reverse=True) and len(set(places)) == len(places)
-    assert len({ladder.name(rung) for rung in range(ladder.LAST + 1)}) == ladder.LAST + 1
+    assert len({levels.name(rung) for rung in range(levels.LAST + 1)}) == levels.LAST + 1
 
 
 @pytest.mark.parametrize("share, rungs", [(1.0, 0), (0.9, 1), (0.81, 2), (0.5, 7), (1 / 0.81, -2), (0.0, 44)])
 def test_rungs_for_a_share(share, rungs):
-    assert ladder.rungs_for(share) == rungs
+    assert levels.rungs_for(share) == rungs
 
 
-@given(st.integers(0, ladder.LAST), st.integers(-1, ladder.LAST), st.integers(0, 999), st.integers(0, 2500),
+@given(st.integers(0, levels.LAST), st.integers(-1, levels.LAST), st.integers(0, 999), st.integers(0, 2500),
        st.dictionaries(st.integers(0, 255), st.integers(0, 9), max_size=32))  # fmt: skip
 def test_a_word_comes_back_as_it_was(rung, pin, weight, hundredths, tenants):
     tenants = tuple(sorted(tenants.items(), key=lambda pair: -pair[1]))
@@ -102,7 +102,7 @@
 def test_a_body_is_a_word_or_damaged(body):
     try:
         word = decode(body)
-        assert 0 <= word.rung <= ladder.LAST
+        assert 0 <= word.rung <= levels.LAST
     except BadWord:
         pass
 
@@ -128,7 +128,7 @@
 def test_without_load_it_is_open_and_with_it_goes_up_to_own_shares_at_once():
     table = Table()
     assert table.looks(8, seen(0.2), [(0, seen(0.2))] * 5) == [0] * 8
-    assert table.looks(1, seen(2.0), [(0, seen(2.0))] * 5) == [ladder.OWN_SHARES]
+    assert table.looks(1, seen(2.0), [(0, seen(2.0))] * 5) == [levels.OWN_SHARES]
     assert table.line.step is Step.UP
 
 
@@ -168,7 +168,7 @@
     table = Table()
     rungs = []
     for _ in range(240):
-        come = min(26.0, 26.0 * ladder.place(table.line.rung) / FIRST)
+        come = min(26.0, 26.0 * levels.place(table.line.rung) / FIRST)
         ratio = 1.3 if come > 12.4 else 0.8 if come > 11.5 else 0.4
         say = Seen(10, ratio, round(come), round(min(come, 12.0)))
         rungs += table.looks(1, say, [(table.line.rung, say)] * 5)
@@ -182,7 +182,7 @@
     table = Table()
     table.looks(1, seen(9.0), [(0, seen(9.0))] * 5)
     assert table.line.rung
-    assert table.looks(1, seen(9.0), [(9, seen(9.0))] * (VOTERS - 2)) == [ladder.OPEN]
+    assert table.looks(1, seen(9.0), [(9, seen(9.0))] * (VOTERS - 2)) == [levels.OPEN]
     assert table.line.step is Step.ALONE
 
 
@@ -204,7 +204,7 @@
     assert found[-1] == 8
 
 
-@given(st.lists(st.tuples(st.integers(0, ladder.LAST), st.floats(0, 25), st.integers(0, 50), st.integers(0, 99),
+@given(st.lists(st.tuples(st.integers(0, levels.LAST), st.floats(0, 25), st.integers(0, 50), st.integers(0, 99),
                           st.integers(0, 99)), max_size=12), st.integers(0, 24), st.integers(0, 24))  # fmt: skip
 def test_any_words_leave_it_on_a_rung_within_the_bounds(words, a, b):
     least, most = sorted((a, b))
@@ -228,10 +228,10 @@
 
 def test_all_together_make_as_many_trials_whatever_their_number():
     for size in (12, 200, 1200):
-        gap = spending.gap_ns(size, 8.0)
+        gap = budgets.gap_ns(size, 8.0)
         assert size / (gap / SECOND) == pytest.approx(8.0)
-    assert spending.most_retries(1000, 1200) == 0.2 * 1000 + 1200
-    assert spending.saved(1200) == 1.0
+    assert budgets.most_retries(1000, 1200) == 0.2 * 1000 + 1200
+    assert budgets.saved(1200) == 1.0
 
 
 @pytest.mark.parametrize(
@@ -254,17 +254,17 @@
 
 def test_a_new_line_is_open_since_its_start_and_alone():
     line = Line(7, 9)
-    assert (line.rung, line.since, line.step) == (ladder.OPEN, 7, Step.ALONE)
+    assert (line.rung, line.since, line.step) == (levels.OPEN, 7, Step.ALONE)
 
 
 def test_the_fewest_voters_with_just_enough_behind_them_at_just_the_load_move_it():
     table = Table()
     rows = [(0, seen(1.0, weight)) for weight in (8, 7, 7)]
-    assert table.looks(1, seen(1.0, 8), rows) == [ladder.OWN_SHARES]
+    assert table.looks(1, seen(1.0, 8), rows) == [levels.OWN_SHARES]
     table = Table()
-    assert table.looks(1, seen(1.0, 7), rows) == [ladder.OPEN], "29 outcomes are chance"
+    assert table.looks(1, seen(1.0, 7), rows) == [levels.OPEN], "29 outcomes are chance"
     table = Table()
-    assert table.looks(1, seen(0.99, 8), [(0, seen(0.99, weight)) for weight in (8, 7, 7)]) == [ladder.OPEN]
+    assert table.looks(1, seen(0.99, 8), [(0, seen(0.99, weight)) for weight in (8, 7, 7)]) == [levels.OPEN]
 
 
 def test_of_two_equal_halves_the_lower_one_is_the_median():
@@ -285,7 +285,7 @@
     table = Table()
     stood(8, 60.0, table)
     table.line._up_at = table.now
-    assert table.looks(1, seen(0.9), [(8, seen(0.9))] * 4)[0] == ladder.OWN_SHARES
+    assert table.looks(1, seen(0.9), [(8, seen(0.9))] * 4)[0] == levels.OWN_SHARES
 
 
 def test_the_step_says_what_the_last_look_did():
@@ -294,5 +294,5 @@
     assert table.line.step is Step.UP
     table.looks(1, seen(2.0), [(0, seen(2.0))] * 4)
     assert table.line.step is Step.UP, "the others are not there yet"
-    table.looks(3, seen(0.9, admitted=10), [(ladder.OWN_SHARES, seen(0.9, admitted=10))] * 4)
+    table.looks(3, seen(0.9, admitted=10), [(levels.OWN_SHARES, seen(0.9, admitted=10))] * 4)
     assert table.line.step is Step.STAYS
