--- a/benchmarks/drainplan.py
+++ b/benchmarks/drainplan.py
@@ -16,13 +16,13 @@
 import click
 
 from benchmarks.report import progress, show
-from covetally.drainplan import Account, FloorError, Floors, Kind, Order, PodError, Unit, plan
-from covetally.drainplan.fleet_state import lacks
+from covetally.drainplan import FleetState, FloorError, Floors, Kind, PodError, Unit, WavePlan, plan
+from covetally.drainplan.fleet_state import floor_violations
 
 SCALE = 100  # CP-SAT counts in whole numbers
 
 
-def draw(seed: int) -> Account:
+def draw(seed: int) -> FleetState:
     """An instance whose units may all go, each alone."""
     rng = random.Random(seed)
     zones = "abc"[: rng.randint(1, 3)]
@@ -38,9 +38,9 @@
         )  # fmt: skip
     pods = Counter(unit.pod for unit in units.values())
     units = {name: replace(unit, pod=unit.pod if pods[unit.pod] > 1 else "") for name, unit in units.items()}
-    account = Account(units, Floors())
+    account = FleetState(units, Floors())
     for name in units:
-        account.seen(0.0, name, True)
+        account.observe(0.0, name, True)
     capacity_of = account.capacity(1.0)
     floors = {key: max(0.0, have - max(3.0, have * rng.uniform(0.15, 0.6))) for key, have in capacity_of.items()}
     fleet, after = {}, {}
@@ -54,7 +54,7 @@
     return account
 
 
-def optimum(account: Account, order: Order, limit_s: float) -> tuple[float, bool]:
+def optimum(account: FleetState, order: WavePlan, limit_s: float) -> tuple[float, bool]:
     """The least time of any order, and whether that is proven; else a bound below it."""
     from ortools.sat.python import cp_model
 
@@ -62,14 +62,14 @@
     names, waves = list(account.units), range(len(order.waves))
     units = account.units
     goes = {(n, w): model.NewBoolVar(f"{n}-{w}") for n in names for w in waves}
-    longest = int(max(unit.took_s for unit in units.values()))
+    longest = int(max(unit.outage_s for unit in units.values()))
     takes = [model.NewIntVar(0, longest, f"t{w}") for w in waves]
     for name in names:
         model.AddExactlyOne(goes[name, w] for w in waves)
     capacity, floors = account.capacity(1.0), account.floors
     for w in waves:
         for name in names:
-            model.Add(takes[w] >= int(units[name].took_s) * goes[name, w])
+            model.Add(takes[w] >= int(units[name].outage_s) * goes[name, w])
         if w:
             model.Add(takes[w - 1] >= takes[w])
 
@@ -103,7 +103,7 @@
     return max(solver.BestObjectiveBound(), order.bound_s), False
 
 
-def large() -> Account:
+def large() -> FleetState:
     """200 nodes and 1,200 sidecars in three zones."""
     rng = random.Random(7)
     units = {}
@@ -112,9 +112,9 @@
         units[f"n{i}"] = Unit(f"n{i}", "abc"[i % 3], Kind.NODE, capacity, f"p{i // 6}", 5, 20, 30)
     for i in range(1200):
         units[f"s{i}"] = Unit(f"s{i}", "abc"[i % 3], Kind.SIDECAR, 1.0, "", 5, float(rng.choice((10, 12))))
-    account = Account(units, Floors())
+    account = FleetState(units, Floors())
     for name in units:
-        account.seen(0.0, name, True)
+        account.observe(0.0, name, True)
     have = account.capacity(1.0)
     account.floors = Floors({key: 0.9 * amount for key, amount in have.items()}, {}, {Kind.NODE: 120.0})
     return account
@@ -136,7 +136,7 @@
             refused += 1
             continue
         slowest = max(slowest, time.perf_counter() - began)
-        broken += any(lacks(wave.left, account.floors) for wave in order.waves)
+        broken += any(floor_violations(wave.remaining, account.floors) for wave in order.waves)
         best, proven = order.seconds, True
         if order.seconds > order.bound_s:
             best, proven = optimum(account, order, limit_s)
--- a/covetally/drainplan/__init__.py
+++ b/covetally/drainplan/__init__.py
@@ -1,10 +1,14 @@
-"""Which sidecars and nodes go out, in which order and together with whom, so that no floor is broken. No I/O."""
+"""Plans and tracks drain orders: which sidecars and nodes are taken out together, under capacity floors.
 
-from covetally.drainplan.fleet_state import Account, Entry, State
+Does no I/O.
+"""
+
+from covetally.drainplan.fleet_state import FleetState, UnitState, UnitStatus
 from covetally.drainplan.errors import FloorError, PodError
-from covetally.drainplan.plan import Order, Wave, plan
+from covetally.drainplan.plan import Wave, WavePlan, plan
 from covetally.drainplan.units import Floors, Kind, Unit
 
 __all__ = [
-    "Account", "Entry", "FloorError", "Floors", "Kind", "Order", "PodError", "State", "Unit", "Wave", "plan",
+    "FleetState", "FloorError", "Floors", "Kind", "PodError", "Unit", "UnitState", "UnitStatus",
+    "Wave", "WavePlan", "plan",
 ]  # fmt: skip
--- a/covetally/drainplan/errors.py
+++ b/covetally/drainplan/errors.py
@@ -1,4 +1,7 @@
-"""What an order is refused for. Each says what an operator can do."""
+"""Errors of drain orders. Each carries a remedy for operators.
+
+docs/operators/errors.md is generated from the docstrings and remedies of these classes.
+"""
 
 from __future__ import annotations
 
@@ -11,11 +14,12 @@
     code = "floor"
     remedy = "Bring back what is out there, add capacity, or lower that floor by name."
 
-    def __init__(self, unit: str, where: str, floor: float, left: float) -> None:
+    def __init__(self, unit: str, where: str, floor: float, remaining: float) -> None:
         super().__init__(
-            f"{unit} cannot go: {where} would have {left:g} left, {floor - left:g} below its floor of {floor:g}"
+            f"{unit} cannot be drained: {where} would have {remaining:g} left, "
+            f"{floor - remaining:g} below its floor of {floor:g}"
         )
-        self.unit, self.where, self.floor, self.lacking = unit, where, floor, floor - left
+        self.unit, self.where, self.floor, self.shortfall = unit, where, floor, floor - remaining
 
 
 class PodError(RefusedError):
@@ -25,7 +29,7 @@
     remedy = "Add a node to that pod, or bring one back, before this one goes."
 
     def __init__(self, unit: str, pod: str) -> None:
-        super().__init__(f"{unit} cannot go: it is the last node in of pod {pod}")
+        super().__init__(f"{unit} cannot be drained: it is the last available node of pod {pod}")
         self.unit, self.pod = unit, pod
 
 
--- a/covetally/drainplan/fleet_state.py
+++ b/covetally/drainplan/fleet_state.py
@@ -1,14 +1,17 @@
-"""One account of who is out: planned and unplanned add up against the same floors.
-
-    state        counts as                     how a unit comes into it
-    -----        ---------                     ------------------------
-    in           its capacity                  seen serving, and warm
-    going out    nothing                       a permit was written down
-    out          nothing                       seen not to serve, or its process ended
-    coming back  what its warmth allows        seen serving after it was out: cold
-    unknown      nothing                       not heard of
-
-A unit that comes back from unknown without having been seen out is in: its link was cut, not its process.
+"""The state of every unit of the fleet. Planned and unplanned outages count against the same floors.
+
+    state        counts as               entered when
+    -----        ---------               ------------
+    in           its full capacity       it is seen serving while unknown, or at the end of its slow start;
+                                         or its permit ends before it has left
+    going out    nothing                 a permit is issued for it
+    out          nothing                 it is seen not serving, or contact is lost while it is going out
+    coming back  a part that grows in    it is seen serving after it was out
+                 slow start
+    unknown      nothing                 it was never seen, or contact is lost while it is in or coming back
+
+A unit that is seen serving after it was unknown is in at once: its link was interrupted, its process was not, so
+it needs no slow start.
 """
 
 from __future__ import annotations
@@ -19,117 +22,121 @@
 
 from covetally.drainplan.units import FLEET, Floors, Kind, Unit
 
-COLD_FROM = 0.1  # of its capacity, that a unit which has just come back counts as, in a straight line to all
+SLOW_START_FROM = 0.1  # fraction of its capacity at which a unit returns; grows linearly to 1 within its `warm_s`
 
 
-class State(enum.Enum):
-    """See the table."""
+class UnitState(enum.Enum):
+    """State of a unit; the module's table describes each. Operators see the values."""
 
-    IN = "in"
-    GOING = "going out"
+    IN_SERVICE = "in"
+    DRAINING = "going out"
     OUT = "out"
-    BACK = "coming back"
+    RETURNING = "coming back"
     UNKNOWN = "unknown"
 
 
 @dataclass(frozen=True, slots=True)
-class Entry:
-    """A unit's line: `cause` in words, `since` on the account's clock, and whether it is out by plan."""
+class UnitStatus:
+    """A unit's state, when it was entered, its cause for operators, and whether the outage is planned."""
 
-    state: State
+    state: UnitState
     since: float
     cause: str = ""
     planned: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class Lack:
-    """A floor that would not hold: of what (a zone, the fleet), its floor, and what would be left."""
+class FloorViolation:
+    """A floor that does not hold: kind of unit, place (a zone or the fleet), the floor and what remains."""
 
     kind: Kind
     where: str
     floor: float
-    left: float
+    remaining: float
 
 
-class Account:
-    """Who is in and who is out. Units that nothing was seen of are unknown."""
+class FleetState:
+    """The state of all units; one that was never observed is unknown. Times are seconds on the caller's clock."""
 
     def __init__(self, units: Mapping[str, Unit], floors: Floors) -> None:
         self.units, self.floors = dict(units), floors
-        self.entries: dict[str, Entry] = {}
+        self.statuses: dict[str, UnitStatus] = {}
 
-    def entry(self, name: str) -> Entry:
-        """A unit's line."""
-        return self.entries.get(name, Entry(State.UNKNOWN, 0.0, "never heard of"))
+    def status_of(self, name: str) -> UnitStatus:
+        """Return a unit's status."""
+        return self.statuses.get(name, UnitStatus(UnitState.UNKNOWN, 0.0, "no contact yet"))
 
-    def seen(self, now: float, name: str, serving: bool, cause: str = "") -> None:
-        """A unit was heard: it serves or it does not."""
-        known = self.entry(name)
+    def observe(self, now: float, name: str, serving: bool, cause: str = "") -> None:
+        """Record that a unit was seen, and whether it serves."""
+        known = self.status_of(name)
         if not serving:
-            if known.state not in (State.OUT, State.GOING):
-                self.entries[name] = Entry(State.OUT, now, cause or "does not serve", known.planned)
-            elif known.state is State.GOING:
-                self.entries[name] = replace(known, state=State.OUT, since=now)
-        elif known.state is State.UNKNOWN:
-            self.entries[name] = Entry(State.IN, now, cause)
-        elif known.state is State.OUT:
-            self.entries[name] = Entry(State.BACK, now, cause or "back, not yet warm", known.planned)
-        elif known.state is State.BACK and self.warmth(now, name) >= 1.0:
-            self.entries[name] = Entry(State.IN, now, cause)
-
-    def lost(self, now: float, name: str, cause: str = "not heard of") -> None:
-        """A unit is not heard of any more."""
-        known = self.entry(name)
-        if known.state is not State.UNKNOWN:
-            state = State.OUT if known.state in (State.GOING, State.OUT) else State.UNKNOWN
-            self.entries[name] = Entry(state, now, known.cause if state is State.OUT else cause, known.planned)
-
-    def going(self, now: float, name: str, cause: str) -> None:
-        """A permit was written down for it."""
-        self.entries[name] = Entry(State.GOING, now, cause, planned=True)
-
-    def stays(self, now: float, name: str) -> None:
-        """Its permit ended before it had gone."""
-        if self.entry(name).state is State.GOING:
-            self.entries[name] = Entry(State.IN, now)
-
-    def warmth(self, now: float, name: str) -> float:
-        """The part of its capacity that a unit counts as."""
-        known, unit = self.entry(name), self.units[name]
-        if known.state is State.IN:
+            if known.state not in (UnitState.OUT, UnitState.DRAINING):
+                self.statuses[name] = UnitStatus(UnitState.OUT, now, cause or "not serving", known.planned)
+            elif known.state is UnitState.DRAINING:
+                self.statuses[name] = replace(known, state=UnitState.OUT, since=now)
+        elif known.state is UnitState.UNKNOWN:
+            self.statuses[name] = UnitStatus(UnitState.IN_SERVICE, now, cause)
+        elif known.state is UnitState.OUT:
+            self.statuses[name] = UnitStatus(
+                UnitState.RETURNING, now, cause or "back, in slow start", known.planned
+            )
+        elif known.state is UnitState.RETURNING and self.available_fraction(now, name) >= 1.0:
+            self.statuses[name] = UnitStatus(UnitState.IN_SERVICE, now, cause)
+
+    def lose_contact(self, now: float, name: str, cause: str = "contact lost") -> None:
+        """Record that there is no contact with a unit any more."""
+        known = self.status_of(name)
+        if known.state is not UnitState.UNKNOWN:
+            state = UnitState.OUT if known.state in (UnitState.DRAINING, UnitState.OUT) else UnitState.UNKNOWN
+            self.statuses[name] = UnitStatus(
+                state, now, known.cause if state is UnitState.OUT else cause, known.planned
+            )
+
+    def mark_draining(self, now: float, name: str, cause: str) -> None:
+        """Record that a permit is issued for a unit."""
+        self.statuses[name] = UnitStatus(UnitState.DRAINING, now, cause, planned=True)
+
+    def cancel_drain(self, now: float, name: str) -> None:
+        """Record that a unit's permit ended before the unit left service."""
+        if self.status_of(name).state is UnitState.DRAINING:
+            self.statuses[name] = UnitStatus(UnitState.IN_SERVICE, now)
+
+    def available_fraction(self, now: float, name: str) -> float:
+        """Return the fraction of its capacity that a unit counts as now."""
+        known, unit = self.status_of(name), self.units[name]
+        if known.state is UnitState.IN_SERVICE:
             return 1.0
-        if known.state is not State.BACK:
+        if known.state is not UnitState.RETURNING:
             return 0.0
         if not unit.warm_s:
             return 1.0
-        return min(1.0, COLD_FROM + (1.0 - COLD_FROM) * max(0.0, now - known.since) / unit.warm_s)
+        return min(1.0, SLOW_START_FROM + (1.0 - SLOW_START_FROM) * max(0.0, now - known.since) / unit.warm_s)
 
     def capacity(self, now: float) -> dict[tuple[Kind, str], float]:
-        """What is in, by kind and zone."""
+        """Return the available capacity by kind and zone."""
         found: dict[tuple[Kind, str], float] = {}
         for unit in self.units.values():
             key = unit.kind, unit.zone
-            found[key] = found.get(key, 0.0) + unit.capacity * self.warmth(now, unit.name)
+            found[key] = found.get(key, 0.0) + unit.capacity * self.available_fraction(now, unit.name)
         return found
 
-    def pods(self, now: float) -> dict[str, int]:
-        """How many nodes are in, by pod."""
+    def nodes_by_pod(self, now: float) -> dict[str, int]:
+        """Return how many nodes of each pod are available."""
         found: dict[str, int] = {}
         for unit in self.units.values():
             if unit.pod:
-                found[unit.pod] = found.get(unit.pod, 0) + (self.warmth(now, unit.name) > 0)
+                found[unit.pod] = found.get(unit.pod, 0) + (self.available_fraction(now, unit.name) > 0)
         return found
 
-    def lacks(self, now: float) -> list[Lack]:
-        """Floors that do not hold now, whatever the cause."""
-        return lacks(self.capacity(now), self.floors)
+    def floor_violations(self, now: float) -> list[FloorViolation]:
+        """Return the floors that do not hold now, whatever the cause."""
+        return floor_violations(self.capacity(now), self.floors)
 
 
-def lacks(capacity: Mapping[tuple[Kind, str], float], floors: Floors) -> list[Lack]:
-    """Floors that do not hold with so much in."""
+def floor_violations(capacity: Mapping[tuple[Kind, str], float], floors: Floors) -> list[FloorViolation]:
+    """Return the floors that do not hold with this available capacity."""
     found = [
-        Lack(kind, zone, floor, capacity.get((kind, zone), 0.0))
+        FloorViolation(kind, zone, floor, capacity.get((kind, zone), 0.0))
         for (kind, zone), floor in floors.zones.items()
         if capacity.get((kind, zone), 0.0) < floor - 1e-9
     ]
@@ -137,10 +144,10 @@
     for (kind, _), amount in capacity.items():
         totals.setdefault(kind, []).append(amount)
     for kind, floor in floors.fleet.items():
-        if (left := sum(totals.get(kind, ()))) < floor - 1e-9:
-            found.append(Lack(kind, FLEET, floor, left))
+        if (remaining := sum(totals.get(kind, ()))) < floor - 1e-9:
+            found.append(FloorViolation(kind, FLEET, floor, remaining))
     for kind, floor in floors.after_loss.items():
         amounts = totals.get(kind, [0.0])
-        if (left := sum(amounts) - max(amounts)) < floor - 1e-9:
-            found.append(Lack(kind, f"{FLEET} after the loss of a zone", floor, left))
+        if (remaining := sum(amounts) - max(amounts)) < floor - 1e-9:
+            found.append(FloorViolation(kind, f"{FLEET} after the loss of a zone", floor, remaining))
     return found
--- a/covetally/drainplan/plan.py
+++ b/covetally/drainplan/plan.py
@@ -1,10 +1,11 @@
-"""Waves of units with the least time, under floors.
+"""Groups units into waves that keep the floors, with the least total time.
 
-A wave takes as long as its slowest unit, so units of like times go together: they are put, the slowest first,
-into the first wave with room (first fit decreasing), and into the fullest with room (best fit); then, as long
-as the bound is not reached, drawn changes of that order are tried. The bound: in any order the k+1st slowest
-wave takes at least as long as the slowest unit that does not fit, by capacity alone, into k waves of one zone's
-(or the fleet's) room.
+A wave takes as long as its slowest unit, so units with similar times share a wave. The units are packed, slowest
+first, into the first wave with room (first-fit decreasing) and into the wave with the least capacity left in the
+unit's zone (best fit). While the result is above the lower bound, randomly changed orders are tried as well.
+
+The lower bound: in any plan the k+1st slowest wave takes at least as long as the slowest unit that does not fit,
+by capacity alone, into k waves of the room of one zone (or of the fleet).
 """
 
 from __future__ import annotations
@@ -14,82 +15,85 @@
 from collections.abc import Iterable, Mapping, Sequence
 from dataclasses import dataclass
 
-from covetally.drainplan.fleet_state import Account, lacks
+from covetally.drainplan.fleet_state import FleetState, floor_violations
 from covetally.drainplan.errors import FloorError, PodError, UnitsError
 from covetally.drainplan.units import FLEET, Floors, Kind, Unit
 
-TRIES = 400  # drawn orders, for up to SMALL units
-SMALL = 64
-Key = tuple[Kind, str]
+RANDOM_ORDERS = 400  # tried for up to MAX_UNITS_FOR_RANDOM units
+MAX_UNITS_FOR_RANDOM = 64
+ZoneKey = tuple[Kind, str]
 
 
 @dataclass(frozen=True, slots=True)
 class Wave:
-    """Units that go out together, how long that takes, and what is left meanwhile by kind and zone."""
+    """Units that are drained together, how long that takes, and the capacity that remains by kind and zone."""
 
     units: tuple[str, ...]
     seconds: float
-    left: Mapping[Key, float]
+    remaining: Mapping[ZoneKey, float]
 
 
 @dataclass(frozen=True, slots=True)
-class Order:
-    """Waves, all of their time, the least that any order could take by the bound, and the narrowest place:
-    where it is, how much room there is, and how much more would save a wave."""
+class WavePlan:
+    """The waves of a drain order, their total time and a lower bound for the time of any plan.
+
+    `bottleneck` is the place that needs the most waves, `room` the capacity that may be out there at a time, and
+    `widen_by` how much more room would save a wave.
+    """
 
     waves: tuple[Wave, ...]
     seconds: float
     bound_s: float
-    narrow: str = ""
+    bottleneck: str = ""
     room: float = math.inf
     widen_by: float = 0.0
 
-    def text(self) -> list[str]:
-        """The arithmetic, line by line."""
+    def describe(self) -> list[str]:
+        """Return the plan and its arithmetic for operators, line by line."""
         lines = [
-            f"wave {number}: {', '.join(wave.units)}; {wave.seconds:g} s; left "
-            + ", ".join(f"{kind.value}s in {zone} {left:g}" for (kind, zone), left in sorted(
-                wave.left.items(), key=lambda item: (item[0][0].value, item[0][1])))
+            f"wave {number}: {', '.join(wave.units)}; {wave.seconds:g} s; remaining: "
+            + ", ".join(f"{kind.value}s in {zone} {amount:g}" for (kind, zone), amount in sorted(
+                wave.remaining.items(), key=lambda item: (item[0][0].value, item[0][1])))
             for number, wave in enumerate(self.waves, 1)
         ]  # fmt: skip
-        lines.append(f"{self.seconds:g} s in all, {self.bound_s:g} s at least")
-        if self.narrow and len(self.waves) > 1:
+        lines.append(f"{self.seconds:g} s in total, lower bound {self.bound_s:g} s")
+        if self.bottleneck and len(self.waves) > 1:
             saves = self.widen_by > 1e-6
-            more = f"{self.widen_by:.3g} more saves a wave" if saves else "more there saves nothing"
-            lines.append(f"narrowest: {self.narrow}, room for {self.room:.4g} at a time; {more}")
+            more = f"{self.widen_by:.3g} more would save a wave" if saves else "more would not save a wave"
+            lines.append(f"bottleneck: {self.bottleneck}, room for {self.room:.4g} at a time; {more}")
         return lines
 
 
-class _Room:
-    """What a wave may still take."""
+class _WaveBuilder:
+    """A wave under construction, and the capacity that remains while its units are out."""
 
-    def __init__(self, capacity: Mapping[Key, float], pods: Mapping[str, int], floors: Floors) -> None:
+    def __init__(self, capacity: Mapping[ZoneKey, float], pods: Mapping[str, int], floors: Floors) -> None:
         self.capacity, self.pods, self.floors = dict(capacity), dict(pods), floors
         self.units: list[Unit] = []
         self.total: dict[Kind, float] = {}
         for (kind, _), amount in capacity.items():
             self.total[kind] = self.total.get(kind, 0.0) + amount
-        self._zones: dict[Kind, list[Key]] = {}
+        self._zones: dict[Kind, list[ZoneKey]] = {}
         for key in capacity:
             self._zones.setdefault(key[0], []).append(key)
 
     def fits(self, unit: Unit) -> bool:
-        """Whether one more may go."""
+        """Return whether every floor and pod holds with this unit out as well."""
         key, kind, floors = (unit.kind, unit.zone), unit.kind, self.floors
-        left = self.capacity.get(key, 0.0) - unit.capacity
-        if left < floors.zones.get(key, 0.0) - 1e-9:
+        remaining = self.capacity.get(key, 0.0) - unit.capacity
+        if remaining < floors.zones.get(key, 0.0) - 1e-9:
             return False
         total = self.total.get(kind, 0.0) - unit.capacity
         if total < floors.fleet.get(kind, 0.0) - 1e-9:
             return False
         if kind in floors.after_loss:
-            most = max(left if other == key else self.capacity[other] for other in self._zones[kind])
-            if total - most < floors.after_loss[kind] - 1e-9:
+            largest = max(remaining if other == key else self.capacity[other] for other in self._zones[kind])
+            if total - largest < floors.after_loss[kind] - 1e-9:
                 return False
         return not unit.pod or self.pods.get(unit.pod, 0) > 1
 
-    def take(self, unit: Unit) -> None:
-        """It goes."""
+    def add(self, unit: Unit) -> None:
+        """Add a unit to the wave."""
         key = unit.kind, unit.zone
         self.capacity[key] -= unit.capacity
         self.total[unit.kind] -= unit.capacity
@@ -98,94 +102,106 @@
         self.units.append(unit)
 
 
-def plan(account: Account, names: Iterable[str], now: float, seed: int = 1) -> Order:
-    """The order in which these go. FloorError or PodError names what leaves no room for a unit even alone;
-    UnitsError a unit that is not there. Who is out already is neither counted nor planned for."""
+def plan(fleet: FleetState, names: Iterable[str], now: float, seed: int = 1) -> WavePlan:
+    """Return the waves in which the named units can be drained.
+
+    Raises FloorError or PodError for a unit that cannot be drained even alone, and UnitsError for an unknown one.
+    A unit that is already out is not planned.
+    """
     chosen = []
     for name in dict.fromkeys(names):
-        if name not in account.units:
-            raise UnitsError(f"no unit {name!r}")
-        if account.warmth(now, name) > 0:
-            chosen.append(account.units[name])
-    capacity, pods = account.capacity(now), account.pods(now)
+        if name not in fleet.units:
+            raise UnitsError(f"no unit is named {name!r}")
+        if fleet.available_fraction(now, name) > 0:
+            chosen.append(fleet.units[name])
+    capacity, pods = fleet.capacity(now), fleet.nodes_by_pod(now)
     for unit in chosen:
-        _alone(unit, capacity, pods, account.floors)
-    bound = lower_bound(chosen, capacity, pods, account.floors)
-    best = _best(chosen, capacity, pods, account.floors, bound, random.Random(seed))
+        _check_alone(unit, capacity, pods, fleet.floors)
+    bound = lower_bound(chosen, capacity, pods, fleet.floors)
+    best = _best_packing(chosen, capacity, pods, fleet.floors, bound, random.Random(seed))
     waves = tuple(
-        Wave(tuple(unit.name for unit in room.units), _slowest(room), dict(room.capacity))
-        for room in sorted(best, key=_slowest)
+        Wave(tuple(unit.name for unit in builder.units), _duration_s(builder), dict(builder.capacity))
+        for builder in sorted(best, key=_duration_s)
     )
-    narrow, room, widen = _narrowest(chosen, capacity, account.floors, len(waves))
-    return Order(waves, sum(wave.seconds for wave in waves), bound, narrow, room, widen)
+    bottleneck, room, widen_by = _find_bottleneck(chosen, capacity, fleet.floors, len(waves))
+    return WavePlan(waves, sum(wave.seconds for wave in waves), bound, bottleneck, room, widen_by)
 
 
-def _alone(unit: Unit, capacity: Mapping[Key, float], pods: Mapping[str, int], floors: Floors) -> None:
-    room = _Room(capacity, pods, floors)
-    if room.fits(unit):
+def _check_alone(unit: Unit, capacity: Mapping[ZoneKey, float], pods: Mapping[str, int], floors: Floors) -> None:
+    """Raise FloorError or PodError if a unit cannot be drained even alone."""
+    builder = _WaveBuilder(capacity, pods, floors)
+    if builder.fits(unit):
         return
     if unit.pod and pods.get(unit.pod, 0) <= 1:
         raise PodError(unit.name, unit.pod)
-    left = dict(capacity)
-    left[unit.kind, unit.zone] = left.get((unit.kind, unit.zone), 0.0) - unit.capacity
-    lack = lacks(left, floors)[0]
-    raise FloorError(unit.name, f"{lack.kind.value}s in {lack.where}", lack.floor, lack.left)
+    remaining = dict(capacity)
+    remaining[unit.kind, unit.zone] = remaining.get((unit.kind, unit.zone), 0.0) - unit.capacity
+    violation = floor_violations(remaining, floors)[0]
+    raise FloorError(
+        unit.name, f"{violation.kind.value}s in {violation.where}", violation.floor, violation.remaining
+    )
 
 
 def _pack(
-    units: Sequence[Unit], capacity: Mapping[Key, float], pods: Mapping[str, int], floors: Floors, fullest: bool
-) -> list[_Room]:
-    rooms: list[_Room] = []
+    units: Sequence[Unit],
+    capacity: Mapping[ZoneKey, float],
+    pods: Mapping[str, int],
+    floors: Floors,
+    best_fit: bool,
+) -> list[_WaveBuilder]:
+    """Pack units in the given order, by best fit or by first fit."""
+    builders: list[_WaveBuilder] = []
     for unit in units:
-        fitting = [room for room in rooms if room.fits(unit)] if fullest else None
-        if fullest:
+        fitting = [builder for builder in builders if builder.fits(unit)] if best_fit else None
+        if best_fit:
             key = unit.kind, unit.zone
-            chosen = min(fitting, key=lambda room: room.capacity[key], default=None) if fitting else None
+            chosen = min(fitting, key=lambda builder: builder.capacity[key], default=None) if fitting else None
         else:
-            chosen = next((room for room in rooms if room.fits(unit)), None)
+            chosen = next((builder for builder in builders if builder.fits(unit)), None)
         if chosen is None:
-            chosen = _Room(capacity, pods, floors)
-            rooms.append(chosen)
-        chosen.take(unit)
-    return rooms
+            chosen = _WaveBuilder(capacity, pods, floors)
+            builders.append(chosen)
+        chosen.add(unit)
+    return builders
 
 
-def _slowest(room: _Room) -> float:
-    return max(unit.took_s for unit in room.units)
+def _duration_s(builder: _WaveBuilder) -> float:
+    return max(unit.outage_s for unit in builder.units)
 
 
-def _seconds(rooms: Iterable[_Room]) -> float:
-    return sum(map(_slowest, rooms))
+def _total_s(builders: Iterable[_WaveBuilder]) -> float:
+    return sum(map(_duration_s, builders))
 
 
-def _best(
-    units: Sequence[Unit], capacity: Mapping[Key, float], pods: Mapping[str, int], floors: Floors, bound: float,
-    rng: random.Random,
-) -> list[_Room]:  # fmt: skip
-    order = sorted(units, key=lambda unit: (-unit.took_s, -unit.capacity, unit.name))
-    best: list[_Room] = []
-    least = math.inf
-    for turn in range(2 + (TRIES if len(units) <= SMALL else 0)):
-        if turn >= 2:
-            # Near to the good order, and sometimes by size first: a large unit that goes late needs a wave of
-            # its own.
-            shake = rng.choice((0.05, 0.2, 0.5))
+def _best_packing(
+    units: Sequence[Unit], capacity: Mapping[ZoneKey, float], pods: Mapping[str, int], floors: Floors,
+    bound: float, rng: random.Random,
+) -> list[_WaveBuilder]:  # fmt: skip
+    """Return the fastest packing found; stop as soon as one reaches the bound."""
+    order = sorted(units, key=lambda unit: (-unit.outage_s, -unit.capacity, unit.name))
+    best: list[_WaveBuilder] = []
+    least_s = math.inf
+    for attempt in range(2 + (RANDOM_ORDERS if len(units) <= MAX_UNITS_FOR_RANDOM else 0)):
+        if attempt >= 2:
+            # Close to the order by time, and sometimes weighted by capacity: a large unit that is packed late
+            # needs a wave of its own.
+            jitter = rng.choice((0.05, 0.2, 0.5))
             weight = rng.choice((0.0, 0.0, 1.0, 3.0))
-            slowest = max(unit.took_s for unit in units)
+            slowest = max(unit.outage_s for unit in units)
             order = sorted(units, key=lambda unit: -(
-                unit.took_s / slowest + weight * unit.capacity / (1.0 + unit.capacity) + rng.uniform(0, shake)
+                unit.outage_s / slowest + weight * unit.capacity / (1.0 + unit.capacity) + rng.uniform(0, jitter)
             ))  # fmt: skip
-        rooms = _pack(order, capacity, pods, floors, fullest=turn % 2 == 1)
-        if (seconds := _seconds(rooms)) < least - 1e-9:
-            best, least = rooms, seconds
-        if least <= bound + 1e-9:
+        builders = _pack(order, capacity, pods, floors, best_fit=attempt % 2 == 1)
+        if (seconds := _total_s(builders)) < least_s - 1e-9:
+            best, least_s = builders, seconds
+        if least_s <= bound + 1e-9:
             break
     return best
 
 
-def _rooms(capacity: Mapping[Key, float], floors: Floors) -> dict[str, tuple[float, set[Key]]]:
-    """By place: how much may go at a time, and which zones count there."""
-    found: dict[str, tuple[float, set[Key]]] = {}
+def _room_by_place(capacity: Mapping[ZoneKey, float], floors: Floors) -> dict[str, tuple[float, set[ZoneKey]]]:
+    """Return for each place (zone or fleet) how much capacity may be out at a time, and the zones in it."""
+    found: dict[str, tuple[float, set[ZoneKey]]] = {}
     for key, amount in capacity.items():
         found[f"{key[0].value}s in {key[1]}"] = amount - floors.zones.get(key, 0.0), {key}
     for kind in {kind for kind, _ in capacity}:
@@ -193,52 +209,57 @@
         total = sum(capacity[key] for key in keys)
         floor = floors.fleet.get(kind, 0.0)
         if kind in floors.after_loss:
-            # With all of it out of the largest zone the loss is smallest: at most so much may go in all.
+            # A wave costs this floor the least if all of it is in the largest zone. So this is an upper limit of
+            # what may be out in the whole fleet.
             floor = max(floor, floors.after_loss[kind])
         found[f"{kind.value}s in {FLEET}"] = total - floor, keys
     return found
 
 
 def lower_bound(
-    units: Sequence[Unit], capacity: Mapping[Key, float], pods: Mapping[str, int], floors: Floors
+    units: Sequence[Unit], capacity: Mapping[ZoneKey, float], pods: Mapping[str, int], floors: Floors
 ) -> float:
-    """No order takes less."""
-    bound = max((unit.took_s for unit in units), default=0.0)
-    for room, keys in _rooms(capacity, floors).values():
+    """Return a time in seconds that no plan can undercut."""
+    bound = max((unit.outage_s for unit in units), default=0.0)
+    for room, keys in _room_by_place(capacity, floors).values():
         here = [unit for unit in units if (unit.kind, unit.zone) in keys]
-        bound = max(bound, _bound_of([(unit.took_s, unit.capacity) for unit in here], room))
+        bound = max(bound, _bound_for_room([(unit.outage_s, unit.capacity) for unit in here], room))
     for pod, count in pods.items():
-        bound = max(bound, _bound_of([(unit.took_s, 1.0) for unit in units if unit.pod == pod], count - 1.0))
+        bound = max(
+            bound, _bound_for_room([(unit.outage_s, 1.0) for unit in units if unit.pod == pod], count - 1.0)
+        )
     return bound
 
 
-def _bound_of(pairs: list[tuple[float, float]], room: float) -> float:
+def _bound_for_room(pairs: list[tuple[float, float]], room: float) -> float:
+    """Return the least time for units, as pairs of time and size, if at most `room` may be out at once."""
     if not pairs or room <= 0:
         return 0.0
     pairs.sort(key=lambda pair: -pair[0])
     if all(size == int(size) for _, size in pairs):
-        # Whole sizes fill whole parts of the room only, in steps of what divides them all.
+        # Whole sizes fill the room only in multiples of their greatest common divisor.
         step = math.gcd(*(int(size) for _, size in pairs)) or 1
         room = math.floor(room / step + 1e-9) * step or room
-    seconds = passed = 0.0
+    seconds = packed = 0.0
     waves = 0
-    for took, size in pairs:
-        passed += size
-        # One that only fits with a part of it into the waves so far needs one more.
-        if passed > waves * room + 1e-9:
+    for time_s, size in pairs:
+        packed += size
+        # A unit that does not fit completely into the waves so far needs another one.
+        if packed > waves * room + 1e-9:
             waves += 1
-            seconds += took
-    # Units of over half of the room can never share a wave.
-    large = sorted((took for took, size in pairs if size > room / 2), reverse=True)
+            seconds += time_s
+    # Two units that each need over half of the room can never share a wave.
+    large = sorted((time_s for time_s, size in pairs if size > room / 2), reverse=True)
     return max(seconds, sum(large))
 
 
-def _narrowest(
-    units: Sequence[Unit], capacity: Mapping[Key, float], floors: Floors, waves: int
+def _find_bottleneck(
+    units: Sequence[Unit], capacity: Mapping[ZoneKey, float], floors: Floors, waves: int
 ) -> tuple[str, float, float]:
+    """Return the place whose room is used most often, its room, and how much more room would save a wave."""
     best = ("", math.inf, 0.0)
     most = 0.0
-    for name, (room, keys) in _rooms(capacity, floors).items():
+    for name, (room, keys) in _room_by_place(capacity, floors).items():
         need = sum(unit.capacity for unit in units if (unit.kind, unit.zone) in keys)
         if room > 0 and need / room > most:
             most = need / room
--- a/covetally/fleet/drains.py
+++ b/covetally/fleet/drains.py
@@ -24,10 +24,10 @@
 from dataclasses import dataclass
 from typing import Any, Protocol
 
-from covetally.drainplan import Account, Floors, Kind, State, Unit, plan
+from covetally.drainplan import FleetState, Floors, Kind, Unit, UnitState, plan
 from covetally.drainplan.errors import PermitError, UnitsError
 from covetally.drainplan.permits import Permits, Stage, next_epoch
-from covetally.drainplan.run import Phase, Run
+from covetally.drainplan.run import DrainRun, Phase
 from covetally.fleet.registry import Instance
 from covetally.fleet.steady_clock import SteadyClock
 from covetally.fleet.store import CannotKeepError, Store
@@ -71,7 +71,7 @@
     warm_s: float = 0.0
 
 
-def account_of(instances: Iterable[Instance], wanted: Wanted) -> Account:
+def account_of(instances: Iterable[Instance], wanted: Wanted) -> FleetState:
     """The sidecars that are known, with the floors wanted; UnitsError where they mean nothing."""
     units: dict[str, Unit] = {}
     for instance in instances:
@@ -98,7 +98,7 @@
         else:
             raise UnitsError(f"no zone {where!r}: there are {', '.join(sorted(zones))}")
     after = {Kind.SIDECAR: wanted.after_loss} if wanted.after_loss else {}
-    return Account(units, Floors(by_zone, fleet, after))
+    return FleetState(units, Floors(by_zone, fleet, after))
 
 
 class Drains:
@@ -107,12 +107,12 @@
     def __init__(self, store: Store, hands: Hands, write: Callable[..., None], clock: SteadyClock) -> None:
         self._store, self._hands, self._write, self._clock = store, hands, write, clock
         kept = json.loads(store.get(KEPT) or "{}")
-        self.run = Run.of(kept["run"]) if kept.get("run") else None
+        self.run = DrainRun.from_json(kept["run"]) if kept.get("run") else None
         self.wanted = _wanted(kept["wanted"]) if kept.get("wanted") else Wanted(())
         self._boots: dict[str, str] = kept.get("boots", {})
         known = int(kept.get("epoch", 0))
         self.permits = Permits(known, kept.get("permits", ""))
-        self.account = Account({}, Floors())
+        self.account = FleetState({}, Floors())
         self._listens_until = 0.0
         self._acts = False  # in an epoch of its own
         self._line_up = False
@@ -133,7 +133,7 @@
         order = plan(account, wanted.names, self._clock.now())
         return {
             "waves": [{"units": list(wave.units), "seconds": wave.seconds} for wave in order.waves],
-            "seconds": order.seconds, "bound_s": order.bound_s, "text": order.text(),
+            "seconds": order.seconds, "bound_s": order.bound_s, "text": order.describe(),
         }  # fmt: skip
 
     def start(self, wanted: Wanted, who: str, why: str) -> dict[str, Any]:
@@ -146,7 +146,7 @@
         self.preview(wanted)
         number = (self.run.number if self.run else 0) + 1
         before = self.wanted, self.run, self.account
-        self.wanted, self.run = wanted, Run(number, who, why, list(wanted.names))
+        self.wanted, self.run = wanted, DrainRun(number, who, why, list(wanted.names))
         self.account = account_of(self._hands.instances.values(), wanted)
         try:
             self._save()
@@ -168,11 +168,11 @@
         elif what == "resume":
             run.resume()
         else:
-            run.back(f"taken back by {who}" + (f": {why}" if why else ""))
+            run.cancel(f"taken back by {who}" + (f": {why}" if why else ""))
         if what != "resume":
             for permit in self.permits.open:
                 if permit.number not in self._told:
-                    self.permits.take_back(self._clock.now(), self.account, permit.unit, f"{what} by {who}")
+                    self.permits.revoke(self._clock.now(), self.account, permit.unit, f"{what} by {who}")
         self._save()
         self._write(who, f"drain {what}", order=run.number, reason=why)
         self._arm()
@@ -184,7 +184,7 @@
         self._save()
         self._write(who, "drain write-off", instance=unit)
         self._arm()
-        return permit.table()
+        return permit.as_dict()
 
     def table(self) -> dict[str, Any]:
         """The order, its permits, and who is out."""
@@ -192,11 +192,12 @@
         out = [
             {"unit": name, "zone": unit.zone, "state": entry.state.value, "since": entry.since,
              "cause": entry.cause, "planned": entry.planned}
-            for name, unit in account.units.items() if (entry := account.entry(name)).state is not State.IN
+            for name, unit in account.units.items()
+            if (entry := account.status_of(name)).state is not UnitState.IN_SERVICE
         ]  # fmt: skip
         return {
-            "order": self.run.table() if self.run is not None else None, "epoch": self.permits.epoch,
-            "permits": [permit.table() for permit in self.permits.open], "out": out,
+            "order": self.run.summary() if self.run is not None else None, "epoch": self.permits.epoch,
+            "permits": [permit.as_dict() for permit in self.permits.open], "out": out,
             "capacity": {zone: round(left, 3) for (_, zone), left in account.capacity(self._clock.now()).items()},
             "floors": {zone: floor for (_, zone), floor in account.floors.zones.items()},
             "now": self._clock.now(), "listens_s": round(max(0.0, self._listens_until - time.monotonic()), 1),
@@ -219,7 +220,7 @@
 
     def hello(self, epoch: int) -> None:
         """A sidecar knows of this epoch."""
-        self.permits.hear(epoch)
+        self.permits.observe_epoch(epoch)
 
     def _arm(self) -> None:
         if self._timer is None:
@@ -233,7 +234,7 @@
         self._arm()
         now = self._clock.now()
         account = self._current(now)
-        self.permits.look(account)
+        self.permits.reconcile(account)
         try:
             if time.monotonic() >= self._listens_until:
                 self._act(now, run, account)
@@ -246,22 +247,22 @@
             self._line_at = time.monotonic()
             self._spawn(self._look_at_line())
 
-    def _act(self, now: float, run: Run, account: Account) -> None:
+    def _act(self, now: float, run: DrainRun, account: FleetState) -> None:
         if not self._acts:
-            self.permits.epoch = next_epoch((self.permits.epoch, self.permits.heard))
-            self.permits.heard = self.permits.epoch
+            self.permits.epoch = next_epoch((self.permits.epoch, self.permits.highest_epoch))
+            self.permits.highest_epoch = self.permits.epoch
             self._save()
             self._acts = True
-        units = run.next(now, account, self.permits, self._line_up)
+        units = run.next_wave(now, account, self.permits, self._line_up)
         if (units or self._dumb) and not self._fresh():
             return
         for unit in units:
             try:
-                self.permits.give(now, account, unit, run.who, f"order {run.number}: {self.wanted.what}")
+                self.permits.issue(now, account, unit, run.who, f"order {run.number}: {self.wanted.what}")
             except PermitError as error:
                 run.reason = error.what
                 break
-            run.gone(unit)
+            run.permit_issued(unit)
             self._boots[unit] = self._hands.instances[unit].boot
 
     def _fresh(self) -> bool:
@@ -298,14 +299,16 @@
             return
         for permit in self.permits.open:
             unit = permit.unit
-            if permit.number in self._told or (permit.stage is not Stage.GIVEN and not self._restarts):
+            if permit.number in self._told or (permit.stage is not Stage.ISSUED and not self._restarts):
                 continue
             instance = self._hands.instances.get(unit)
             if instance is None or not instance.connected:
                 continue
             if instance.boot != self._boots.get(unit):
-                if permit.stage is Stage.GIVEN:
-                    self.permits.told(unit)  # by an agent that died before it could note it: it has been out
+                if permit.stage is Stage.ISSUED:
+                    self.permits.mark_notified(
+                        unit
+                    )  # by an agent that died before it could note it: it has been out
                 continue
             self._told.add(permit.number)
             self._spawn(self._step(permit.number, unit))
@@ -317,11 +320,11 @@
             denied = error.line()
         if denied and self.run is not None:
             self._told.discard(number)
-            self.permits.take_back(self._clock.now(), self.account, unit, denied)
+            self.permits.revoke(self._clock.now(), self.account, unit, denied)
             self.run.fail(unit, denied)
             self._write("agent", "drain refused", instance=unit, reason=denied)
         else:
-            self.permits.told(unit)
+            self.permits.mark_notified(unit)
         with contextlib.suppress(CannotKeepError):  # the next look writes it
             self._save_changes()
 
@@ -336,38 +339,38 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    def _current(self, now: float) -> Account:
+    def _current(self, now: float) -> FleetState:
         if set(self.account.units) != set(self._hands.instances):
-            entries = self.account.entries
+            entries = self.account.statuses
             self.account = account_of(self._hands.instances.values(), self.wanted)
-            self.account.entries = entries
+            self.account.statuses = entries
         return self._seen(self.account, now)
 
-    def _seen(self, account: Account, now: float) -> Account:
+    def _seen(self, account: FleetState, now: float) -> FleetState:
         """What links tell of each: connected and serving, and by which process."""
         for permit in self.permits.open:
-            if permit.unit in account.units and account.entry(permit.unit).state is State.UNKNOWN:
-                account.going(now, permit.unit, f"{permit.why}, by {permit.who}")
+            if permit.unit in account.units and account.status_of(permit.unit).state is UnitState.UNKNOWN:
+                account.mark_draining(now, permit.unit, f"{permit.why}, by {permit.who}")
         for name, instance in self._hands.instances.items():
             if name not in account.units:
                 continue
             if not instance.connected:
-                account.lost(now, name, instance.left or "no link")
+                account.lose_contact(now, name, instance.left or "no link")
                 continue
             if self._is_dumb(instance):
-                account.lost(now, name, "does not answer")
+                account.lose_contact(now, name, "does not answer")
                 continue
-            permit = self.permits.of(name)
-            going = account.entry(name).state is State.GOING
+            permit = self.permits.for_unit(name)
+            going = account.status_of(name).state is UnitState.DRAINING
             if permit is not None and instance.boot != self._boots.get(name, instance.boot):
                 if going:
-                    account.seen(now, name, False)  # it has been out between two looks
+                    account.observe(now, name, False)  # it has been out between two looks
             elif permit is not None and (self._restarts or (going and instance.state == "serving")):
                 # Still on its way out: in the process of then it has not been out, whoever lost sight of it.
                 if not going:
-                    account.going(now, name, f"{permit.why}, by {permit.who}")
+                    account.mark_draining(now, name, f"{permit.why}, by {permit.who}")
                 continue
-            account.seen(now, name, instance.state == "serving", "")
+            account.observe(now, name, instance.state == "serving", "")
         return account
 
     @property
@@ -377,7 +380,7 @@
     def _save(self) -> None:
         boots = {permit.unit: self._boots.get(permit.unit, "") for permit in self.permits.open}
         kept = {
-            "run": self.run.text() if self.run is not None else "", "permits": self.permits.text(),
+            "run": self.run.to_json() if self.run is not None else "", "permits": self.permits.to_json(),
             "epoch": self.permits.epoch, "boots": boots, "wanted": _text(self.wanted),
         }  # fmt: skip
         with self._store.transaction():
@@ -390,7 +393,7 @@
 
     def _changing(self) -> tuple[Any, ...]:
         """What changes as an order goes on."""
-        return (self.run.text() if self.run is not None else "", self.permits.text(), self.permits.epoch)
+        return (self.run.to_json() if self.run is not None else "", self.permits.to_json(), self.permits.epoch)
 
 
 def _text(wanted: Wanted) -> dict[str, Any]:
--- a/tests/drainplan/agent_without_probes.py
+++ b/tests/drainplan/agent_without_probes.py
@@ -1,4 +1,4 @@
-"""An agent that takes every sidecar whose link is up to be in, as one did before it asked them: planted."""
+"""An agent with a fault: it counts every sidecar with an open link as in service, without probing it."""
 
 from __future__ import annotations
 
--- a/tests/drainplan/test_processes.py
+++ b/tests/drainplan/test_processes.py
@@ -1,5 +1,4 @@
-"""Drain orders over real sidecars under a real agent: who is out is seen from outside, by their health
-answers."""
+"""Drain orders of real sidecars under a real agent, observed from outside by the sidecars' health answers."""
 
 from __future__ import annotations
 
@@ -26,9 +25,10 @@
 
 @contextlib.asynccontextmanager
 async def supervised(module: str = COMMAND):
+    """Start an agent that supervises the sidecars; yield the test cluster and a watch of their health."""
     async with asyncio.timeout(4 * WAIT_S), Managed(Shape(nodes=3, instances=SIZE)) as world:
         await world.start_supervised(module)
-        await asyncio.sleep(3.2)  # a new agent listens first
+        await asyncio.sleep(3.2)  # a new agent only listens at first
         watch = Watch(world)
         looks = asyncio.create_task(watch.run())
         try:
@@ -38,7 +38,7 @@
             await looks
 
 
-def test_an_order_restarts_all_wave_after_wave_under_load_above_every_floor():
+def test_order_restarts_all_sidecars_in_waves_under_load_above_every_floor():
     async def main():
         async with supervised() as (world, watch):
             before = await pids(world)
@@ -47,7 +47,7 @@
             load = Load(world.account, addresses, load_plan, lambda name: True)
             played = asyncio.create_task(load.play(load_plan.draw()))
             code, out, err = await world.command("drain", "plan", *ORDER)
-            assert code == 0 and "wave 2" in out and "narrowest" in out, err
+            assert code == 0 and "wave 2" in out and "bottleneck" in out, err
             code, out, err = await world.command("drain", "start", "-m", "new kernel", *ORDER)
             assert code == 0 and "order 1" in out, err
             code, out, err = await world.command("drain", "start", *ORDER)
@@ -65,13 +65,13 @@
 
 
 @pytest.mark.parametrize("times", [1, 3])
-def test_an_agent_that_is_killed_in_the_middle_goes_on_and_nobody_goes_twice(times):
+def test_order_continues_after_the_agent_is_killed_and_restarts_each_sidecar_once(times):
     async def main():
         async with supervised() as (world, watch):
             before = await pids(world)
             assert (await world.command("drain", "start", *ORDER))[0] == 0
-            for turn in range(times):
-                await asyncio.sleep(0.3 + 0.4 * turn)
+            for attempt in range(times):
+                await asyncio.sleep(0.3 + 0.4 * attempt)
                 await world.kill_agent()
                 await world.start_supervisor()
                 await until(lambda: world.agent.returncode is None)
@@ -81,16 +81,16 @@
             assert all(after[name] != before[name] for name in before)
             assert min(watch.least.values()) >= 1, watch.least
             ends = [i.log.count(" drains") for i in world.instances.values()]
-            assert ends == [1] * SIZE, "each has gone once"
+            assert ends == [1] * SIZE, "each was drained once"
 
     asyncio.run(main())
 
 
-def test_one_that_stands_still_counts_as_out_though_its_link_is_up_and_holds_the_order_up():
+def test_paused_sidecar_with_an_open_link_counts_as_out_and_blocks_the_order():
     async def main():
         async with supervised() as (world, watch):
             found = await pids(world)
-            os.kill(found["a0"], signal.SIGSTOP)  # zone a has one left that serves
+            os.kill(found["a0"], signal.SIGSTOP)  # one sidecar of zone a still serves
             watch.faulty["a0"] = time.monotonic()
             await asyncio.sleep(KNOWN_S)
             assert (await world.command("drain", "start", *ORDER))[0] == 0
@@ -113,14 +113,17 @@
     asyncio.run(main())
 
 
-def test_the_agent_killed_after_every_commit_of_an_order_restarts_each_once():
-    """Enumerated, until a run has no further commit; `benchmarks.crashes` does it before each one, too."""
+def test_each_sidecar_restarts_once_if_the_agent_is_killed_after_any_commit():
+    """Kill it after the first commit, after the second, and so on until an order has no further one.
+
+    `benchmarks.crashes` also kills it before each commit.
+    """
     found = asyncio.run(every_commit("after", jobs=6))
     assert {number: crash.broken for number, crash in found.items() if crash.broken} == {}
     assert sum(crash.died for crash in found.values()) >= 12
 
 
-def test_a_second_order_tells_those_that_the_first_one_told():
+def test_second_order_notifies_a_sidecar_of_the_first_one_again():
     async def main():
         async with supervised() as (world, _):
             for _ in range(2):
@@ -132,7 +135,7 @@
     asyncio.run(main())
 
 
-def test_a_move_out_is_seen_beside_all_that_are_out_and_held_against_its_own_zone():
+def test_watch_checks_an_outage_against_the_other_outages_of_its_zone():
     watch = Watch(SimpleNamespace(instances=dict.fromkeys(f"a{n}" for n in range(SIZE))))  # by three zones
     watch._saw("a0", 1.0, OUT)
     watch._saw("a1", 2.0, OUT)
@@ -142,7 +145,7 @@
     assert watch.broken(1, KNOWN_S) == ["floor: a3 went out, a0 out for 2.0 s"]
 
 
-def test_the_checker_from_outside_finds_an_agent_that_does_not_ask_whether_anybody_is_there():
+def test_watch_finds_an_agent_that_does_not_probe_the_sidecars():
     async def main():
         async with supervised("tests.drainplan.agent_without_probes") as (world, watch):
             pid = (await pids(world))["a0"]
@@ -158,19 +161,19 @@
 
 
 @pytest.mark.parametrize(
-    "words, said",
+    "arguments, message",
     [(("plan", "--floor", "each=100%"), "below its floor"), (("plan", "--floor", "z=1"), "no zone 'z'"),
      (("start", "--floor", "each=half"), "ZONE=N"), (("halt",), "no order is under way"),
      (("start", "-s", "name=nobody"), "no instance is meant")],
 )  # fmt: skip
-def test_what_a_tired_operator_says_is_refused_in_one_line_with_what_to_do(words, said):
+def test_invalid_commands_are_rejected_in_one_line(arguments, message):
     async def main():
         async with asyncio.timeout(WAIT_S), Managed(Shape(nodes=1, instances=2)) as world:
             await world.start_agent()
             await world.start_instances()
             await world.connected()
-            code, out, err = await world.command("drain", *words)
+            code, out, err = await world.command("drain", *arguments)
             lines = [line for line in err.splitlines() if line]
-            assert code not in (0, None) and len(lines) == 1 and said in lines[0], (out, err)
+            assert code not in (0, None) and len(lines) == 1 and message in lines[0], (out, err)
 
     asyncio.run(main())
