--- a/covetally/configuration.py
+++ b/covetally/configuration.py
@@ -19,7 +19,7 @@
     from covetally.caps.settings import Plan as Caps
     from covetally.membership.settings import Plan
     from covetally.operator.schema import Values
-    from covetally.overload.settings import Plan as Overload
+    from covetally.overload.settings import OverloadConfig as Overload
     from covetally.tier.settings import Plan as Tier
 
 log = logging.getLogger("covetally")
@@ -241,7 +241,7 @@
     _needs_peers(config, "overload.mode", values)
     from covetally.overload import settings
 
-    return settings.plan(config.settings, len(config.peers), values)
+    return settings.overload_config(config.settings, len(config.peers), values)
 
 
 def _caps(config: Config, values: Values) -> Caps | None:
--- a/covetally/lab/line.py
+++ b/covetally/lab/line.py
@@ -13,7 +13,7 @@
 
 from covetally.lab.fleet import MS, SECOND, Fleet
 from covetally.overload import Member, Policy
-from covetally.overload.messages import LineWord, decode, encode
+from covetally.overload.messages import ThresholdMessage, decode, encode
 from covetally.rig.schedule import WELL, Link, Schedule, Step
 from covetally.words import Word
 
@@ -76,7 +76,7 @@
             self.members[number].heard(self.fleet.now, word)
 
     def _sample(self) -> None:
-        rungs = [m.line.rung for i, m in enumerate(self.members) if i not in self.stopped]
+        rungs = [m.threshold.level for i, m in enumerate(self.members) if i not in self.stopped]
         common = max(set(rungs), key=rungs.count)
         near = sum(abs(rung - common) <= 1 for rung in rungs) / len(rungs)
         self.samples.append((self.fleet.now / SECOND, near, common))
@@ -109,6 +109,6 @@
 
 def changed(word: Word, **figures: Any) -> Word:
     """A word with other figures in it, for liars."""
-    told: LineWord = decode(word.body)
-    rung = figures.pop("rung", told.rung)
-    return word._replace(body=encode(told._replace(seen=replace(told.seen, **figures), rung=rung)))
+    told: ThresholdMessage = decode(word.body)
+    rung = figures.pop("rung", told.level)
+    return word._replace(body=encode(told._replace(sample=replace(told.sample, **figures), level=rung)))
--- a/covetally/overload/__init__.py
+++ b/covetally/overload/__init__.py
@@ -1,7 +1,7 @@
-"""Who sheds what, decided by the whole fleet: one order of requests, one line across it. No I/O."""
+"""Fleet-wide load shedding: one priority order of requests and one admission threshold. Does no I/O."""
 
-from covetally.overload.threshold import Line, Step
+from covetally.overload.threshold import Threshold, Transition
 from covetally.overload.member import Member, Policy
-from covetally.overload.priorities import Order, rank
+from covetally.overload.priorities import Priorities, rank
 
-__all__ = ["Line", "Member", "Order", "Policy", "Step", "rank"]
+__all__ = ["Member", "Policy", "Priorities", "Threshold", "Transition", "rank"]
--- a/covetally/overload/backoff.py
+++ b/covetally/overload/backoff.py
@@ -1,18 +1,18 @@
-"""When a client that was refused by the line may come back.
+"""The time after which a client whose request was shed may try again.
 
-The end of a storm must be no second one: times are spread by half, and grow with how far the line is up, since
-what waits to come back grows with it. The settings' longest time bounds them.
+Clients must not all return at the end of an overload. So the times are drawn from a range, and grow with the
+level, since more requests wait to return at a higher one. The settings' longest time limits them.
 """
 
 from __future__ import annotations
 
 from covetally.overload import levels
 
-LEAST = 0.5  # of the longest time, at the first rung
+MIN_FRACTION = 0.5  # of the longest time; the first level has a twelfth more
 
 
-def hold_off_ns(rung: int, longest_ns: int) -> int:
-    """The longest of the spread times; the balancer draws between half of it and all."""
-    if rung <= levels.OPEN:
+def hold_off_ns(level: int, longest_ns: int) -> int:
+    """Return the upper end of the range at a level; the balancer draws between half of it and all of it."""
+    if level <= levels.OPEN:
         return 0
-    return int(longest_ns * min(1.0, LEAST + rung / 12))
+    return int(longest_ns * min(1.0, MIN_FRACTION + level / 12))
--- a/covetally/overload/budgets.py
+++ b/covetally/overload/budgets.py
@@ -1,28 +1,28 @@
-"""What all sidecars together may spend on more than first tries, by arithmetic, without a word.
+"""Fleet-wide budgets for retries, probes and new connections, divided by arithmetic, without communication.
 
-Each of n members may make the n-th part: of R trials a second at one node, one in n / R seconds, at a moment that
-follows from its name and the node's. So the sum is R a second whatever n is, and no two members need to agree
-on a clock: moments are spread evenly by the hash. The same for new connections.
+Each of n members may use the n-th part. Of R probes a second at one node it makes one in n / R seconds, at a
+moment that is derived from its own name and the node's. So the sum is R a second for any n, and no two members
+need synchronized clocks: the hash spreads the moments evenly. The same holds for new connections.
 """
 
 from __future__ import annotations
 
 from covetally.interface import SECOND
 
-RETRIES = 0.2  # attempts beyond the first, for one request: what each sidecar earns today
-SAVED = 200.0  # further attempts that the whole fleet may have saved up
+RETRIES_PER_REQUEST = 0.2  # the same ratio as each sidecar uses on its own
+FLEET_SAVED_RETRIES = 200.0  # retries that the whole fleet may have saved up
 
 
-def gap_ns(size: int, per_s: float) -> int:
-    """How far apart one of `size` members' own are, so that all together make `per_s`; 0: no bound."""
+def interval_ns(size: int, per_s: float) -> int:
+    """Return the time between two uses by one of `size` members that together make `per_s`; 0: no limit."""
     return int(size / per_s * SECOND) if per_s > 0 else 0
 
 
-def saved(size: int) -> float:
-    """The further attempts that one member may have saved up: one at least."""
-    return max(1.0, min(10.0, SAVED / size))
+def max_saved_retries(size: int) -> float:
+    """Return how many retries one of `size` members may save up: from 1 to 10."""
+    return max(1.0, min(10.0, FLEET_SAVED_RETRIES / size))
 
 
-def most_retries(requests: float, size: int) -> float:
-    """The bound: further attempts of all members over a time in which `requests` came."""
-    return RETRIES * requests + max(float(size), min(10.0 * size, SAVED))
+def max_retries(requests: float, size: int) -> float:
+    """Return the upper limit of retries by all members in a time in which `requests` arrived."""
+    return RETRIES_PER_REQUEST * requests + max(float(size), min(10.0 * size, FLEET_SAVED_RETRIES))
--- a/covetally/overload/load.py
+++ b/covetally/overload/load.py
@@ -1,7 +1,8 @@
-"""What one sidecar sees of the fleet's load, counted over the last half second.
+"""The load of the nodes as one sidecar measures it, over the last half second.
 
-How far the nodes' queues are from where they should be is told by their reports; where they tell nothing, by
-how many calls were late or timed out. Both are given as a ratio: 1 is where the line begins to move.
+The load is the queueing time that the nodes report, relative to the time at which the admission level should
+rise. Where nodes report no queues, it is the share of late and timed-out attempts, relative to LATE_SHARE. In
+both cases the level rises from a ratio of 1.
 """
 
 from __future__ import annotations
@@ -14,28 +15,32 @@
 
 WINDOW_NS = SECOND // 4
 WINDOWS = 2
-LATE = 0.1  # share of calls late or timed out at which the line begins to move
-ABSURD_NS = 60 * SECOND
-NO_SIGN = frozenset({How.CANCELLED, How.MOOT, How.CONNECT_FAILED})  # tell of links and clients, not of load
+LATE_SHARE = 0.1  # share of late or timed-out attempts that is a load of 1
+MAX_WAIT_NS = 60 * SECOND  # a longer reported wait is taken as an error of the report
+IGNORED_OUTCOMES = frozenset(
+    {How.CANCELLED, How.MOOT, How.CONNECT_FAILED}
+)  # caused by links and clients, not load
 
 
 @dataclass(slots=True)
-class Counts:
-    """What happened in a window. `waits` adds up reported waits in ns, `told` is how many reports there were."""
+class WindowCounts:
+    """Counts of one window. `wait_sum_ns` is the sum of the waits that `reports` reports had."""
 
     admitted: int = 0
     served: int = 0
     ended: int = 0
     late: int = 0
-    waits: float = 0.0
-    told: int = 0
+    wait_sum_ns: float = 0.0
+    reports: int = 0
     tenants: dict[int, int] = field(default_factory=dict)
 
 
 @dataclass(frozen=True, slots=True)
-class Seen:
-    """Half a second's worth, as it is told to others: `weight` outcomes; `ratio` of the load to where the line
-    moves."""
+class LoadSample:
+    """Measurements of half a second, as members send them to each other.
+
+    `weight` is the number of outcomes, `ratio` the load, and `tenants` has pairs of a tenant and its requests.
+    """
 
     weight: int
     ratio: float
@@ -44,68 +49,68 @@
     tenants: tuple[tuple[int, int], ...] = ()
 
 
-class Pressure:
-    """Windows of one sidecar."""
+class LoadMonitor:
+    """Counts one sidecar's requests and attempts in windows of WINDOW_NS."""
 
     def __init__(self, settings: Settings, now: int) -> None:
         self.target_ns = min(c.aim_ns for c in settings.classes) / 3
-        self._now = Counts()
-        self._past: deque[Counts] = deque(maxlen=WINDOWS)
-        self._turned = now
-
-    def asked(self, tenant: int, admitted: bool) -> None:
-        """A request has come."""
-        self._now.admitted += admitted
-        self._now.tenants[tenant] = self._now.tenants.get(tenant, 0) + 1
-
-    def ended(self, served: bool) -> None:
-        """A request that was let in has its answer."""
-        self._now.served += served
-
-    def outcome(self, event: Response, late: bool) -> None:
-        """An attempt has ended, after its class's aim if `late`."""
-        if event.how in NO_SIGN:
+        self._current = WindowCounts()
+        self._past: deque[WindowCounts] = deque(maxlen=WINDOWS)
+        self._rotated_at = now
+
+    def record_request(self, tenant: int, admitted: bool) -> None:
+        """Count a request that arrived."""
+        self._current.admitted += admitted
+        self._current.tenants[tenant] = self._current.tenants.get(tenant, 0) + 1
+
+    def record_answer(self, served: bool) -> None:
+        """Count an admitted request that got its answer."""
+        self._current.served += served
+
+    def record_attempt(self, event: Response, late: bool) -> None:
+        """Count an attempt that ended; `late` says whether that was after its class's aim."""
+        if event.how in IGNORED_OUTCOMES:
             return
-        counts = self._now
+        counts = self._current
         counts.ended += 1
         counts.late += late or event.how in (How.TIMEOUT, How.FULL)
         wait = reported_wait(event.load)
         if wait is not None:
-            counts.waits += wait
-            counts.told += 1
+            counts.wait_sum_ns += wait
+            counts.reports += 1
 
-    def turn(self, now: int) -> None:
-        """A window ends. After a standstill what was counted before it says nothing."""
-        if now - self._turned > WINDOWS * WINDOW_NS:
+    def rotate(self, now: int) -> None:
+        """End the current window. After a pause of the process all earlier counts are dropped as outdated."""
+        if now - self._rotated_at > WINDOWS * WINDOW_NS:
             self._past.clear()
         else:
-            self._past.append(self._now)
-        self._now, self._turned = Counts(), now
+            self._past.append(self._current)
+        self._current, self._rotated_at = WindowCounts(), now
 
-    def seen(self) -> Seen:
-        """The last half second."""
+    def sample(self) -> LoadSample:
+        """Return the measurements of the last WINDOWS complete windows."""
         past = self._past
-        ended, told = sum(c.ended for c in past), sum(c.told for c in past)
-        late = sum(c.late for c in past) / ended / LATE if ended else 0.0
-        wait = sum(c.waits for c in past) / told / self.target_ns if told else 0.0
-        # Where nodes tell their queues, late calls alone are those that a slow or silent node costs.
-        ratio = wait if 2 * told >= ended else late
+        ended, reports = sum(c.ended for c in past), sum(c.reports for c in past)
+        late = sum(c.late for c in past) / ended / LATE_SHARE if ended else 0.0
+        wait = sum(c.wait_sum_ns for c in past) / reports / self.target_ns if reports else 0.0
+        # Where nodes report their queues, late attempts only show that some node is slow or silent.
+        ratio = wait if 2 * reports >= ended else late
         tenants: dict[int, int] = {}
         for counts in past:
-            for tenant, asked in counts.tenants.items():
-                tenants[tenant] = tenants.get(tenant, 0) + asked
-        return Seen(
+            for tenant, requests in counts.tenants.items():
+                tenants[tenant] = tenants.get(tenant, 0) + requests
+        return LoadSample(
             ended, min(ratio, 25.0), sum(c.admitted for c in past), sum(c.served for c in past),
             tuple(sorted(tenants.items())),
         )  # fmt: skip
 
 
 def reported_wait(load: Mapping[str, float]) -> float | None:
-    """The wait that a report tells, in ns, by Little's law; None if it tells none."""
+    """Return the queueing time in ns that a load report implies by Little's law; None if it implies none."""
     queue, rate = load.get("queue", -1.0), load.get("qps", 0.0)
     if not 0 <= queue < 1e9:  # NaN too
         return None
     if queue == 0:
         return 0.0
     wait = queue / rate * SECOND if rate > 0 else queue * max(0.0, load.get("latency_ms", 0.0)) * 1e6 / 4
-    return wait if wait < ABSURD_NS else None
+    return wait if wait < MAX_WAIT_NS else None
--- a/covetally/overload/member.py
+++ b/covetally/overload/member.py
@@ -1,4 +1,7 @@
-"""One member's part in the fleet's line, put together: requests, outcomes and words in; a line and words out."""
+"""One sidecar's part in fleet-wide load shedding.
+
+Takes requests, outcomes and the messages of other members; gives the admission threshold and own messages.
+"""
 
 from __future__ import annotations
 
@@ -7,37 +10,36 @@
 from dataclasses import dataclass
 from typing import Any
 
-from covetally.interface import SECOND, Line as Told, Response, Settings
+from covetally.interface import SECOND, Line as ThresholdUpdate, Response, Settings
 from covetally.overload import backoff, levels
-from covetally.overload.threshold import FALLS, Line, Vote
-from covetally.overload.priorities import Order, rank
+from covetally.overload.threshold import LOWER_LOAD, Threshold, Vote
+from covetally.overload.priorities import Priorities, rank
 from covetally.overload.pins import Pin
-from covetally.overload.load import WINDOW_NS, Pressure
-from covetally.overload.shares import Shares
-from covetally.overload.budgets import RETRIES, gap_ns, saved
-from covetally.overload.messages import Echo, LineWord, decode, encode
+from covetally.overload.load import WINDOW_NS, LoadMonitor
+from covetally.overload.shares import TenantShares
+from covetally.overload.budgets import RETRIES_PER_REQUEST, interval_ns, max_saved_retries
+from covetally.overload.messages import Echo, ThresholdMessage, decode, encode
 from covetally.words import Newest, Part, Word, first_number
 from covetally.words.shell import ALL, Send
 
-COUNTS_NS = 3 * SECOND // 2  # a word counts for so long
-SPEAKERS = 16  # members that speak in one look, of all
-QUIET = 8  # while all is well, so many times fewer
-LATE_NS = 3 * SECOND // 5  # words that take longer one way tell of a load that was: better alone than by them
-DELAY_NS = 10 * SECOND  # what was measured of that counts so long
-LASTS_NS = 2 * SECOND  # what the balancer is told counts for so long: if this stops, it ends
+MESSAGE_TTL_NS = 3 * SECOND // 2  # a received message counts this long
+SENDERS_PER_ROUND = 16  # members of the whole fleet that send in one window
+CALM_DIVISOR = 8  # this many times fewer send while there is no load
+MAX_DELAY_NS = 3 * SECOND // 5  # slower messages show a load that is over: it is better to act without them
+DELAY_TTL_NS = 10 * SECOND  # a measured delay counts this long
+UPDATE_TTL_NS = 2 * SECOND  # a threshold given to the balancer expires after this if it is not renewed
 
 
 @dataclass(frozen=True, slots=True)
 class Policy:
-    """What operators want of it. `trials_per_s` and `connections_per_s` are of all sidecars together, at one
-    node; 0: no bound."""
+    """Limits that operators set for all sidecars together, at one node; 0: no limit."""
 
     trials_per_s: float = 8.0
     connections_per_s: float = 0.0
 
 
 class Member:
-    """Its number `me` of `size`; `life` random at each start. Times in ns on one monotonic clock."""
+    """The member with index `me` of `size`; `life` is random at each start. Times: ns on one monotonic clock."""
 
     def __init__(
         self, me: int, size: int, life: int, seed: int, now: int, settings: Settings, policy: Policy
@@ -45,131 +47,140 @@
         self.me, self.size, self.life, self.policy = me, size, life, policy
         self._random = random.Random(seed).random
         self._settings = settings
-        self._order = Order(settings)
+        self._priorities = Priorities(settings)
         self._aims = [c.aim_ns for c in settings.classes]
-        self.pressure = Pressure(settings, now)
-        self.shares = Shares(settings)
-        self.line = Line(now, size)
+        self.load_monitor = LoadMonitor(settings, now)
+        self.shares = TenantShares(settings)
+        self.threshold = Threshold(now, size)
         self.pin: Pin | None = None
-        self.lapsed: Pin | None = None  # the last pin, once its time was over
-        self.refused: Counter[tuple[int, str]] = Counter()  # by class and rung's name
+        self.expired_pin: Pin | None = None  # the last pin that has expired
+        self.refused: Counter[tuple[int, str]] = Counter()  # by class and name of the level
         self.garbage = 0
-        self._words: Newest[LineWord] = Newest(me, COUNTS_NS)
+        self._messages: Newest[ThresholdMessage] = Newest(me, MESSAGE_TTL_NS)
         self._number = first_number(now)
-        self._told_at = now
-        self._sent: deque[tuple[int, int]] = deque(maxlen=64)  # numbers of own words, and when they were said
-        self.delay_ns = 0  # of words, one way, as echoes tell
-        self._delay_at = 0
-        self._last = (0, 0, now - COUNTS_NS)  # whose word was heard last: sender, number, when
+        self._next_update_at = now
+        self._sent: deque[tuple[int, int]] = deque(maxlen=64)  # numbers of own messages, and when they were sent
+        self.delay_ns = 0  # one-way delay of messages, measured by echoes
+        self._delay_measured_at = 0
+        self._last_received = (0, 0, now - MESSAGE_TTL_NS)  # sender, number and time of the last message
         self.due = now + WINDOW_NS
 
     # --- requests -------------------------------------------------------------------------------
 
     def place(self, name: bytes | str, cls: int, tenant: int, retry: bool) -> float:
-        """A request's place in the one order; it counts as asked."""
-        place = self._order.place(cls, rank(name), self.shares.within(tenant), retry)
-        let_in = place < levels.place(self.line.rung)
-        self.pressure.asked(tenant, let_in)
-        if not let_in:
-            self.refused[cls, levels.name(self.line.rung)] += 1
-        return place
+        """Return a request's priority, and count the request."""
+        priority = self._priorities.priority_of(cls, rank(name), self.shares.covered_fraction(tenant), retry)
+        admitted = priority < levels.threshold_of(self.threshold.level)
+        self.load_monitor.record_request(tenant, admitted)
+        if not admitted:
+            self.refused[cls, levels.level_name(self.threshold.level)] += 1
+        return priority
 
     def ended(self, served: bool) -> None:
-        """A request has its answer."""
-        self.pressure.ended(served)
+        """Count a request that got its answer."""
+        self.load_monitor.record_answer(served)
 
     def outcome(self, event: Response, cls: int) -> None:
-        """An attempt has ended."""
+        """Count an attempt that has ended."""
         aim = self._aims[cls] if 0 <= cls < len(self._aims) else self._aims[0]
-        self.pressure.outcome(event, event.lag_ns > aim)
+        self.load_monitor.record_attempt(event, event.lag_ns > aim)
 
-    # --- words ----------------------------------------------------------------------------------
+    # --- messages -------------------------------------------------------------------------------
 
     def heard(self, now: int, word: Word) -> list[Send]:
-        """A member's word; BadWord if its body is none."""
+        """Receive another member's message; raise BadWord if its body is damaged."""
         if word.sender < self.size:
-            said = decode(word.body)
-            if self._words.heard(now, word, said):
-                self._last = (word.sender, word.number % 65536, now)
-                if said.echo is not None and said.echo.sender == self.me:
-                    self._measure(now, said.echo)
+            message = decode(word.body)
+            if self._messages.heard(now, word, message):
+                self._last_received = (word.sender, word.number % 65536, now)
+                if message.echo is not None and message.echo.sender == self.me:
+                    self._measure_delay(now, message.echo)
         return []
 
-    def _measure(self, now: int, echo: Echo) -> None:
-        """An own word has come back: half of the time that passed is its way."""
+    def _measure_delay(self, now: int, echo: Echo) -> None:
+        """Update the delay from an echo of an own message: half of the round trip."""
         at = next((at for number, at in self._sent if number % 65536 == echo.number), None)
         if at is not None:
-            way = max(0, now - at - echo.held_ns) // 2
-            self.delay_ns += (way - self.delay_ns) // 2 if self._delay_at else way
-            self._delay_at = now
+            one_way = max(0, now - at - echo.held_ns) // 2
+            self.delay_ns += (one_way - self.delay_ns) // 2 if self._delay_measured_at else one_way
+            self._delay_measured_at = now
 
     def tick(self, now: int) -> list[Send]:
-        """Time has passed: what to say to all, if anything. Next at `due`."""
+        """Evaluate once per window, and return the message to send to all, if any. Next at `due`."""
         if now < self.due:
             return []
         self.due = now + WINDOW_NS
-        self.pressure.turn(now)
-        own = self.pressure.seen()
-        words = [(word, at) for _, word, at in self._words.fresh(now)]
-        if self.delay_ns > LATE_NS and now - self._delay_at < DELAY_NS:
-            words = []
-        least, most = self._bounds(now)
-        votes = [Vote(word.rung, word.seen, at) for word, at in words]
-        self.line.look(now, own, votes, least, most)
-        self.shares.look([own, *(word.seen for word, _ in words)], self.size)
-        well = self.line.rung == levels.OPEN and self.line.load < FALLS and own.ratio < FALLS
-        if self._random() >= SPEAKERS / self.size / (QUIET if well else 1):
+        self.load_monitor.rotate(now)
+        own = self.load_monitor.sample()
+        received = [(message, at) for _, message, at in self._messages.fresh(now)]
+        if self.delay_ns > MAX_DELAY_NS and now - self._delay_measured_at < DELAY_TTL_NS:
+            received = []
+        least, most = self._level_bounds(now)
+        votes = [Vote(message.level, message.sample, at) for message, at in received]
+        self.threshold.evaluate(now, own, votes, least, most)
+        self.shares.update([own, *(message.sample for message, _ in received)], self.size)
+        calm = self.threshold.level == levels.OPEN and self.threshold.load < LOWER_LOAD and own.ratio < LOWER_LOAD
+        if self._random() >= SENDERS_PER_ROUND / self.size / (CALM_DIVISOR if calm else 1):
             return []
         self._number += 1
         self._sent.append((self._number, now))
-        echo = Echo(*self._last[:2], now - self._last[2]) if now - self._last[2] < COUNTS_NS else None
-        body = encode(LineWord(self.line.rung, self.line.rung if self.pin else -1, own, echo))
+        echo = (
+            Echo(*self._last_received[:2], now - self._last_received[2])
+            if now - self._last_received[2] < MESSAGE_TTL_NS
+            else None
+        )
+        body = encode(ThresholdMessage(self.threshold.level, self.threshold.level if self.pin else -1, own, echo))
         return [Send(ALL, Word(Part.LINE, self.me, self.life, self._number, body))]
 
-    def _bounds(self, now: int) -> tuple[int, int]:
+    def _level_bounds(self, now: int) -> tuple[int, int]:
+        """Return the least and the highest level that a pin allows, and end a pin that has expired."""
         pin = self.pin
         if pin is not None and now >= pin.until_ns:
-            self.pin, self.lapsed, pin = None, pin, None
-        return (pin.least, pin.most) if pin is not None else (levels.OPEN, levels.LAST)
+            self.pin, self.expired_pin, pin = None, pin, None
+        return (pin.least, pin.most) if pin is not None else (levels.OPEN, levels.MAX_LEVEL)
 
     def leave(self, now: int) -> list[Send]:
-        """Nothing is owed to anybody: words lapse."""
+        """Return the messages to send at the end: none, since messages expire by themselves."""
         return []
 
-    def told(self, now: int) -> list[Told]:
-        """What the balancer is told: once a look."""
-        if now < self._told_at:
+    def told(self, now: int) -> list[ThresholdUpdate]:
+        """Return the update for the balancer, once per evaluation."""
+        if now < self._next_update_at:
             return []
-        self._told_at = self.due
-        rung = self.line.rung
-        return [Told(
-            now + LASTS_NS, levels.place(rung),
-            backoff.hold_off_ns(rung, self._settings.limits.max_retry_after_ns),
-            RETRIES * levels.retries_left(rung), saved(self.size),
-            gap_ns(self.size, self.policy.trials_per_s), gap_ns(self.size, self.policy.connections_per_s),
+        self._next_update_at = self.due
+        level = self.threshold.level
+        return [ThresholdUpdate(
+            now + UPDATE_TTL_NS, levels.threshold_of(level),
+            backoff.hold_off_ns(level, self._settings.limits.max_retry_after_ns),
+            RETRIES_PER_REQUEST * levels.retry_budget_factor(level), max_saved_retries(self.size),
+            interval_ns(self.size, self.policy.trials_per_s),
+            interval_ns(self.size, self.policy.connections_per_s),
         )]  # fmt: skip
 
     def resize(self, size: int) -> None:
-        """The list of peers has changed."""
-        self.size = self.line.size = size
-        self._words.resize(size)
+        """Apply a changed number of members."""
+        self.size = self.threshold.size = size
+        self._messages.resize(size)
 
     def table(self, now: int) -> dict[str, Any]:
-        """For operators: which step holds, since when, why, what it refused."""
-        line = self.line
+        """Return the level, its cause and what it refused, for operators."""
+        threshold = self.threshold
         return {
-            "rung": line.rung, "step": levels.name(line.rung), "for_s": round((now - line.since) / SECOND, 1),
-            "why": line.step.value, "load": round(line.load, 2), "voters": line.voters,
-            "heard": sum(1 for _ in self._words.fresh(now)),
-            "pin": self.pin.text if self.pin else "", "pin_for_s": self._left(now),
-            "lapsed": self.lapsed.text if self.lapsed else "",
-            "refused": {f"{self._name(cls)}: {step}": n for (cls, step), n in sorted(self.refused.items())},
+            "rung": threshold.level, "step": levels.level_name(threshold.level),
+            "for_s": round((now - threshold.since) / SECOND, 1),
+            "why": threshold.transition.value, "load": round(threshold.load, 2), "voters": threshold.voters,
+            "heard": sum(1 for _ in self._messages.fresh(now)),
+            "pin": self.pin.text if self.pin else "", "pin_for_s": self._pin_remaining_s(now),
+            "lapsed": self.expired_pin.text if self.expired_pin else "",
+            "refused": {
+                f"{self._class_name(cls)}: {level}": n for (cls, level), n in sorted(self.refused.items())
+            },
             "delay_ms": self.delay_ns // 1_000_000, "garbage": self.garbage,
         }  # fmt: skip
 
-    def _left(self, now: int) -> float:
+    def _pin_remaining_s(self, now: int) -> float:
         return round(max(0, self.pin.until_ns - now) / SECOND, 1) if self.pin else 0.0
 
-    def _name(self, cls: int) -> str:
+    def _class_name(self, cls: int) -> str:
         classes = self._settings.classes
         return classes[cls].name if 0 <= cls < len(classes) else "unknown"
--- a/covetally/overload/messages.py
+++ b/covetally/overload/messages.py
@@ -1,17 +1,18 @@
-"""A member's word on the line, as the body of a frame (covetally/words). Big-endian.
+"""A member's overload message: the body of a gossip message (covetally/words). All numbers are big-endian.
 
-bytes  what
-1      rung that it stands on
-1      rung that an operator has pinned here, 255: none
+bytes  content
+1      the member's level
+1      the level that an operator has pinned here; 255: none
 2      weight: outcomes in the last half second
-2      ratio of the load to where the line moves, in hundredths
-2      requests let in, in the last half second
+2      load ratio, in hundredths
+2      requests admitted in the last half second
 2      requests served
-2      echo: a sender whose word was heard of late (65535: none),
-2      the last two bytes of that word's number,
-1      and how long ago it was heard, 20 ms each
-1      tenants that follow, 32 at most
-3 each tenant 1, requests asked 2
+2      echo: the sender of the last message received; 65535: none
+2      the low two bytes of that message's number
+1      the time since it was received, in units of 20 ms
+1      number of tenants that follow, at most 32
+3 per  tenant (1 byte) and its requests (2 bytes)
+tenant
 """
 
 from __future__ import annotations
@@ -19,63 +20,65 @@
 from struct import Struct, error
 from typing import NamedTuple
 
-from covetally.overload.levels import LAST
-from covetally.overload.load import Seen
+from covetally.overload.levels import MAX_LEVEL
+from covetally.overload.load import LoadSample
 from covetally.words import BadWord
 
 HEAD = Struct(">BBHHHHHHBB")
 TENANT = Struct(">BH")
-MOST_TENANTS = 32
+MAX_TENANTS = 32
 NO_PIN = 255
-MOST = 65535
-HELD_NS = 20_000_000
+MAX_UINT16 = 65535
+ECHO_UNIT_NS = 20_000_000
 
 
 class Echo(NamedTuple):
-    """Whose word was heard, the end of its number, and how long before this one was said, in ns: so that its
-    sender learns how long words are on their way."""
+    """The sender and number of the last message received, and how long before this one that was, in ns.
+
+    Its sender calculates from it how long messages take.
+    """
 
     sender: int
     number: int
     held_ns: int
 
 
-class LineWord(NamedTuple):
-    """What a member says: where it stands, and why."""
+class ThresholdMessage(NamedTuple):
+    """A member's level, its pinned level (-1: none) and its load sample."""
 
-    rung: int
+    level: int
     pin: int
-    seen: Seen
+    sample: LoadSample
     echo: Echo | None = None
 
 
-def encode(word: LineWord) -> bytes:
-    """The body for a word; tenants past the most are left out, the busiest kept."""
-    seen = word.seen
-    tenants = sorted(seen.tenants, key=lambda pair: -pair[1])[:MOST_TENANTS]
-    tenants = [(tenant, asked) for tenant, asked in tenants if tenant < 256]
+def encode(message: ThresholdMessage) -> bytes:
+    """Return the body for a message, with the MAX_TENANTS tenants that have the most requests."""
+    sample = message.sample
+    tenants = sorted(sample.tenants, key=lambda pair: -pair[1])[:MAX_TENANTS]
+    tenants = [(tenant, requests) for tenant, requests in tenants if tenant < 256]
     return HEAD.pack(
-        word.rung, NO_PIN if word.pin < 0 else word.pin,
-        min(seen.weight, MOST), min(round(seen.ratio * 100), MOST),
-        min(seen.admitted, MOST), min(seen.served, MOST), *_echo(word.echo), len(tenants),
-    ) + b"".join(TENANT.pack(tenant, min(asked, MOST)) for tenant, asked in tenants)  # fmt: skip
+        message.level, NO_PIN if message.pin < 0 else message.pin,
+        min(sample.weight, MAX_UINT16), min(round(sample.ratio * 100), MAX_UINT16),
+        min(sample.admitted, MAX_UINT16), min(sample.served, MAX_UINT16), *_echo(message.echo), len(tenants),
+    ) + b"".join(TENANT.pack(tenant, min(requests, MAX_UINT16)) for tenant, requests in tenants)  # fmt: skip
 
 
 def _echo(echo: Echo | None) -> tuple[int, int, int]:
     if echo is None:
-        return MOST, 0, 0
-    return echo.sender, echo.number, min(255, echo.held_ns // HELD_NS)
+        return MAX_UINT16, 0, 0
+    return echo.sender, echo.number, min(255, echo.held_ns // ECHO_UNIT_NS)
 
 
-def decode(body: bytes) -> LineWord:
-    """The word in a body; BadWord if there is none, or a figure is out of range."""
+def decode(body: bytes) -> ThresholdMessage:
+    """Return the message in a body; raise BadWord if it is too short or a number is out of range."""
     try:
-        rung, pin, weight, ratio, admitted, served, *echoed, count = HEAD.unpack_from(body)
+        level, pin, weight, ratio, admitted, served, *echoed, count = HEAD.unpack_from(body)
         tenants = tuple(TENANT.unpack_from(body, HEAD.size + i * TENANT.size) for i in range(count))
     except error as damage:
         raise BadWord(str(damage)) from None
-    if rung > LAST or count > MOST_TENANTS or (pin > LAST and pin != NO_PIN):
-        raise BadWord("a figure out of range")
-    echo = None if echoed[0] == MOST else Echo(echoed[0], echoed[1], echoed[2] * HELD_NS)
-    seen = Seen(weight, ratio / 100, admitted, served, tenants)
-    return LineWord(rung, -1 if pin == NO_PIN else pin, seen, echo)
+    if level > MAX_LEVEL or count > MAX_TENANTS or (pin > MAX_LEVEL and pin != NO_PIN):
+        raise BadWord("a number is out of range")
+    echo = None if echoed[0] == MAX_UINT16 else Echo(echoed[0], echoed[1], echoed[2] * ECHO_UNIT_NS)
+    sample = LoadSample(weight, ratio / 100, admitted, served, tenants)
+    return ThresholdMessage(level, -1 if pin == NO_PIN else pin, sample, echo)
--- a/covetally/overload/pins.py
+++ b/covetally/overload/pins.py
@@ -1,5 +1,7 @@
-"""An operator's hand on the line: pinned to a rung, kept from going higher, or lower, for a time that ends by
-itself."""
+"""Pins: an operator's limit on the admission level, for a bounded time.
+
+A pin sets the level, or keeps it from going above or below a level, and expires by itself.
+"""
 
 from __future__ import annotations
 
@@ -9,11 +11,11 @@
 from covetally.interface import SECOND
 from covetally.overload import levels
 
-WORDS = {"open": levels.OPEN, "no-retries": levels.NO_RETRIES, "own-shares": levels.OWN_SHARES}
-MOST_S = 86_400.0
+LEVELS_BY_NAME = {"open": levels.OPEN, "no-retries": levels.NO_RETRIES, "own-shares": levels.OWN_SHARES}
+MAX_DURATION_S = 86_400.0
 
 
-class BadPin(ConfigurationError):
+class InvalidPin(ConfigurationError):
     """A pin that says no rung, or no time."""
 
     code = "line-pin"
@@ -22,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Pin:
-    """`least` and `most` bound the rung until `until_ns`."""
+    """Keeps the level from `least` to `most` until `until_ns`; `text` is what the operator wrote."""
 
     least: int
     most: int
@@ -30,21 +32,21 @@
     text: str
 
 
-def parse(text: str, now: int) -> Pin:
-    """A pin such as "pin:own-shares:600", in force from now; BadPin if it is none."""
+def parse_pin(text: str, now: int) -> Pin:
+    """Return the pin that a text such as "pin:own-shares:600" sets from now on; InvalidPin if it is malformed."""
     parts = text.split(":")
     if len(parts) != 3 or parts[0] not in ("pin", "most", "least"):
-        raise BadPin(f"{text!r} is no pin")
-    kind, rung, seconds = parts
-    number = WORDS.get(rung, int(rung) if rung.isdecimal() else -1)
-    if not levels.OPEN <= number <= levels.LAST:
-        raise BadPin(f"{rung!r} is no rung")
+        raise InvalidPin(f"{text!r} is not a valid pin")
+    kind, level_text, seconds = parts
+    level = LEVELS_BY_NAME.get(level_text, int(level_text) if level_text.isdecimal() else -1)
+    if not levels.OPEN <= level <= levels.MAX_LEVEL:
+        raise InvalidPin(f"{level_text!r} is not a valid level")
     try:
-        lasts_s = float(seconds)
+        duration_s = float(seconds)
     except ValueError:
-        raise BadPin(f"{seconds!r} is no time in seconds") from None
-    if not 0 < lasts_s <= MOST_S:
-        raise BadPin(f"{seconds} s is not between 0 and {MOST_S:g}")
-    least = levels.OPEN if kind == "most" else number
-    most = levels.LAST if kind == "least" else number
-    return Pin(least, most, now + int(lasts_s * SECOND), text)
+        raise InvalidPin(f"{seconds!r} is not a number of seconds") from None
+    if not 0 < duration_s <= MAX_DURATION_S:
+        raise InvalidPin(f"{seconds} s is not between 0 and {MAX_DURATION_S:g}")
+    least = levels.OPEN if kind == "most" else level
+    most = levels.MAX_LEVEL if kind == "least" else level
+    return Pin(least, most, now + int(duration_s * SECOND), text)
--- a/covetally/overload/shares.py
+++ b/covetally/overload/shares.py
@@ -1,9 +1,8 @@
-"""Which part of a tenant's requests its share of the fleet's service covers, from what members say they were
-asked.
+"""The fraction of a tenant's requests that its share of the fleet's service covers.
 
-A tenant with an allowance has that many requests a second over the whole fleet; else its share of all that is
-asked. Words are a sample of the members, so a rate is the mean of those heard times how many there are; what is
-used is averaged over some seconds, and a tenth over is let pass.
+A tenant with an allowance may make that many requests a second over the whole fleet; any other may make its share
+of all requests. Only some members send their counts at a time, so a rate is the mean of the samples times the
+number of members. Rates are averaged over some seconds, and a tenant may exceed its share by a tenth.
 """
 
 from __future__ import annotations
@@ -11,43 +10,43 @@
 from collections.abc import Sequence
 
 from covetally.interface import SECOND, Settings
-from covetally.overload.load import WINDOW_NS, WINDOWS, Seen
+from covetally.overload.load import WINDOW_NS, WINDOWS, LoadSample
 
 WINDOW_S = WINDOWS * WINDOW_NS / SECOND
-OVER = 1.1
-GAIN = 0.1  # of one look, four of which make a second
-FEW = 1.0  # requests a second below which nobody is over its share
+TOLERANCE = 1.1
+GAIN = 0.1  # of one update; there are four a second
+MIN_RATE = 1.0  # requests a second below which no tenant is over its share
 
 
-class Shares:
-    """What tenants use of the fleet."""
+class TenantShares:
+    """The request rates of all tenants over the whole fleet."""
 
     def __init__(self, settings: Settings) -> None:
         self._tenants = settings.tenants
         total = sum(t.share for t in settings.tenants) or 1.0
         self._share = [t.share / total for t in settings.tenants]
-        self._allowed = [t.allowance_per_s for t in settings.tenants]
+        self._allowance = [t.allowance_per_s for t in settings.tenants]
         self.rates = [0.0] * len(settings.tenants)
 
-    def look(self, seen: Sequence[Seen], size: int) -> None:
-        """What members, this one among them, were asked in the last half second."""
-        if not seen:
+    def update(self, samples: Sequence[LoadSample], size: int) -> None:
+        """Update the rates from samples of some of `size` members, this one included."""
+        if not samples:
             return
         sums = [0.0] * len(self.rates)
-        for one in seen:
-            for tenant, asked in one.tenants:
+        for sample in samples:
+            for tenant, requests in sample.tenants:
                 if tenant < len(sums):
-                    sums[tenant] += asked
-        for tenant, asked in enumerate(sums):
-            rate = asked * size / len(seen) / WINDOW_S
+                    sums[tenant] += requests
+        for tenant, requests in enumerate(sums):
+            rate = requests * size / len(samples) / WINDOW_S
             self.rates[tenant] += (rate - self.rates[tenant]) * GAIN
 
-    def within(self, tenant: int) -> float:
-        """The part of a tenant's requests that its share covers; 1 for tenants that nobody has named."""
+    def covered_fraction(self, tenant: int) -> float:
+        """Return the fraction of a tenant's requests that its share covers; 1 for a tenant without settings."""
         if not 0 <= tenant < len(self.rates):
             return 1.0
         rate, total = self.rates[tenant], sum(self.rates)
-        if rate < FEW:
+        if rate < MIN_RATE:
             return 1.0
-        allowed = self._allowed[tenant] or self._share[tenant] * total
-        return min(1.0, OVER * allowed / rate)
+        allowed = self._allowance[tenant] or self._share[tenant] * total
+        return min(1.0, TOLERANCE * allowed / rate)
--- a/covetally/overload/threshold.py
+++ b/covetally/overload/threshold.py
@@ -1,22 +1,29 @@
-"""Where the fleet's line stands, as one member decides it from what all say.
-
-    what it finds                                    what it does
-    -------------                                    ------------
-    fewer than VOTERS members say anything of load   goes back to the open line: today's behaviour
-    others stand on other rungs                      takes the median of all, its own among them
-    load of RISES or more                            takes what is served now for what nodes can do; up: to
-                                                     "own shares" at once, then until what is let in is what they
-                                                     can do, one rung at least, MOST_UP at most
-    load below RISES                                 takes nodes to be able to do a little more; down, to where
-                                                     they would be busy, by a single rung only with load below
-                                                     FALLS and CALM_NS after it went up the two agree to within
-                                                     a rung                   stays
-
-Load is the weighted median of what members saw. A weight is the outcomes behind a word, at most WEIGHT times the
-median one: so a liar, a lucky one or one with a bad link moves nothing alone, and a fifth of them together cannot
-push the median past what honest ones say. A member with three requests counts for three. The median of rungs
-keeps all on one; after a move only what is said of the time since then counts, so that many who decide alike do
-not add up, and each move is judged by what it did.
+"""The fleet's admission level as one member decides it from the samples of all members.
+
+    condition                           decision
+    ---------                           --------
+    fewer than MIN_VOTERS members have  the open level: each sidecar admits requests as without the others
+    outcomes (fewer than all, in a
+    smaller fleet)
+    the median of all levels, the own   that median, from HOLD_NS after its own last change on
+    one included, is another one
+    load of RAISE_LOAD or more          the assumed capacity of the nodes moves to what they serve now. The level
+                                        rises to "own shares" at once, and from there until what is admitted is
+                                        the capacity: by one level at least, by MAX_RAISE at most. With fewer than
+                                        MIN_OUTCOMES outcomes it stays
+    load below RAISE_LOAD               the assumed capacity grows by CAPACITY_GROWTH. The level goes down
+                                        until what is admitted is the capacity; by a single level only if the
+                                        load is below LOWER_LOAD and it last went up COOLDOWN_NS ago or earlier.
+                                        It stops at "own shares", and goes down one by one from there
+    the same, and what is admitted is   no change
+    within a level of the capacity
+
+The load is the weighted median of the members' ratios. A sample's weight is its number of outcomes, at most
+MAX_RELATIVE_WEIGHT times the median weight. So a single member that lies, is lucky or has a bad link changes
+nothing, and even a fifth of all members cannot move the median beyond the values of the others. A member with few
+requests has little weight. The median of levels keeps all members at the same one. After a change only samples of
+the time since then count. So members that decide the same at once do not add up, and each change is judged by its
+effect.
 """
 
 from __future__ import annotations
@@ -27,40 +34,40 @@
 
 from covetally.interface import SECOND
 from covetally.overload import levels
-from covetally.overload.load import WINDOW_NS, WINDOWS, Seen
+from covetally.overload.load import WINDOW_NS, WINDOWS, LoadSample
 
-VOTERS = 4
-WEIGHT = 1.5
-RISES, FALLS = 1.0, 0.5
-SINCE_NS = WINDOWS * WINDOW_NS  # what was said so long after a move is of the line as it stands
-STANDS_NS = SECOND  # to its own move, so that others whose looks come later find it there
-CALM_NS = 2 * SECOND  # after it went up, until it comes down by a single rung
-MOST_UP = 8  # rungs at one move
-MORE = 1.01  # by so much nodes are taken to be able to do more, at each look
-ENOUGH = 30.0  # outcomes behind the words, all together, for the line to go up: fewer are chance
+MIN_VOTERS = 4
+MAX_RELATIVE_WEIGHT = 1.5
+RAISE_LOAD, LOWER_LOAD = 1.0, 0.5
+SETTLE_NS = WINDOWS * WINDOW_NS  # a sample received this long after a change shows the effect of that change
+HOLD_NS = SECOND  # it keeps a level that it decided, so that others that evaluate later find it there
+COOLDOWN_NS = 2 * SECOND  # after the level went up, until it goes down by a single level
+MAX_RAISE = 8  # levels in one change
+CAPACITY_GROWTH = 1.01  # factor on the assumed capacity at each evaluation below RAISE_LOAD
+MIN_OUTCOMES = 30.0  # outcomes of all samples together for the level to go up: fewer may be chance
 
 
-class Step(enum.Enum):
-    """What the last look did."""
+class Transition(enum.Enum):
+    """What the last evaluation did to the level. Operators see the values."""
 
-    STAYS = "stays"
-    UP = "up"
-    DOWN = "down"
-    JOINS = "joins the others"
-    ALONE = "alone"
+    UNCHANGED = "stays"
+    RAISED = "up"
+    LOWERED = "down"
+    FOLLOWED = "joins the others"
+    ISOLATED = "alone"
 
 
 @dataclass(frozen=True, slots=True)
 class Vote:
-    """What one member says of itself, and when it was heard."""
+    """A member's level and load sample, and when they were received."""
 
-    rung: int
-    seen: Seen
+    level: int
+    sample: LoadSample
     at: int = 0
 
 
 def weighted_median(pairs: Sequence[tuple[float, float]]) -> float:
-    """The value at which half of the weight is reached; 0 without any."""
+    """Return the value at which half of the weight is reached; 0 without any pairs of value and weight."""
     total = sum(weight for _, weight in pairs)
     passed = 0.0
     for value, weight in sorted(pairs):
@@ -71,85 +78,87 @@
 
 
 def load_of(votes: Sequence[Vote]) -> tuple[float, float]:
-    """What all together make of the load, and how many outcomes are behind it."""
-    heavy = sorted(vote.seen.weight for vote in votes if vote.seen.weight)
-    if not heavy:
+    """Return the load that all votes together show, and the number of outcomes behind it."""
+    weights = sorted(vote.sample.weight for vote in votes if vote.sample.weight)
+    if not weights:
         return 0.0, 0.0
-    most = WEIGHT * heavy[(len(heavy) - 1) // 2]
-    pairs = [(v.seen.ratio, min(v.seen.weight, most)) for v in votes if v.seen.weight]
+    limit = MAX_RELATIVE_WEIGHT * weights[(len(weights) - 1) // 2]
+    pairs = [(v.sample.ratio, min(v.sample.weight, limit)) for v in votes if v.sample.weight]
     return weighted_median(pairs), sum(weight for _, weight in pairs)
 
 
-class Line:
-    """One member's line. Times in ns."""
+class Threshold:
+    """One member's view of the fleet's admission level. Times in ns."""
 
     def __init__(self, now: int, size: int) -> None:
         self.size = size
-        self.rung = levels.OPEN
-        self.since = now  # it has stood on this rung
-        self.step = Step.ALONE
-        self.load = self.behind = 0.0
+        self.level = levels.OPEN
+        self.since = now  # when the level last changed
+        self.transition = Transition.ISOLATED
+        self.load = self.outcomes = 0.0
         self.voters = 0
-        self.can_do = 0.0  # requests served in a window for each member, where nodes had queues; 0: never seen
-        self._moved = self._decided = self._up_at = now - SECOND
-
-    def look(
-        self, now: int, own: Seen, others: Sequence[Vote], least: int = levels.OPEN, most: int = levels.LAST
-    ) -> int:
-        """Decide anew; the rung to stand on, between `least` and `most` as operators have it."""
-        votes = [*others, Vote(self.rung, own, now)]
-        self.voters = sum(1 for vote in votes if vote.seen.weight)
-        if self.voters < min(VOTERS, self.size):
-            self._stand(now, max(least, min(most, levels.OPEN)), Step.ALONE)
-            return self.rung
-        rungs = sorted(vote.rung for vote in votes)
-        common = max(least, min(most, rungs[(len(rungs) - 1) // 2]))
-        if common != self.rung and now - self._decided >= STANDS_NS:
-            self._stand(now, common, Step.JOINS)
-        votes = [vote for vote in votes if vote.at - self._moved >= SINCE_NS]
-        if sum(1 for vote in votes if vote.seen.weight) < min(VOTERS, self.size):
-            return self.rung
-        self.load, self.behind = load_of(votes)
-        self._learn(votes)
-        target = max(least, min(most, self._target(now, votes)))
-        if target != self.rung:
-            self._up_at = now if target > self.rung else self._up_at
-            self._stand(now, target, Step.UP if target > self.rung else Step.DOWN)
-            self._decided = now
-        elif common == self.rung:
-            self.step = Step.STAYS
-        return self.rung
-
-    def _learn(self, votes: Sequence[Vote]) -> None:
-        if self.load >= RISES:
-            served = sum(vote.seen.served for vote in votes) / len(votes)
-            self.can_do += (served - self.can_do) * (0.5 if self.can_do else 1.0)
+        self.capacity = 0.0  # requests served in a window per member while nodes had queues; 0: not measured
+        self._changed_at = self._decided_at = self._raised_at = now - SECOND
+
+    def evaluate(
+        self, now: int, own: LoadSample, others: Sequence[Vote],
+        least: int = levels.OPEN, most: int = levels.MAX_LEVEL,
+    ) -> int:  # fmt: skip
+        """Decide the level anew and return it; operators keep it from `least` to `most`."""
+        votes = [*others, Vote(self.level, own, now)]
+        self.voters = sum(1 for vote in votes if vote.sample.weight)
+        if self.voters < min(MIN_VOTERS, self.size):
+            self._set_level(now, max(least, min(most, levels.OPEN)), Transition.ISOLATED)
+            return self.level
+        sorted_levels = sorted(vote.level for vote in votes)
+        common = max(least, min(most, sorted_levels[(len(sorted_levels) - 1) // 2]))
+        if common != self.level and now - self._decided_at >= HOLD_NS:
+            self._set_level(now, common, Transition.FOLLOWED)
+        votes = [vote for vote in votes if vote.at - self._changed_at >= SETTLE_NS]
+        if sum(1 for vote in votes if vote.sample.weight) < min(MIN_VOTERS, self.size):
+            return self.level
+        self.load, self.outcomes = load_of(votes)
+        self._update_capacity(votes)
+        target = max(least, min(most, self._target_level(now, votes)))
+        if target != self.level:
+            self._raised_at = now if target > self.level else self._raised_at
+            self._set_level(now, target, Transition.RAISED if target > self.level else Transition.LOWERED)
+            self._decided_at = now
+        elif common == self.level:
+            self.transition = Transition.UNCHANGED
+        return self.level
+
+    def _update_capacity(self, votes: Sequence[Vote]) -> None:
+        if self.load >= RAISE_LOAD:
+            served = sum(vote.sample.served for vote in votes) / len(votes)
+            self.capacity += (served - self.capacity) * (0.5 if self.capacity else 1.0)
         else:
-            self.can_do *= MORE
-
-    def _target(self, now: int, votes: Sequence[Vote]) -> int:
-        rung = self.rung
-        if self.load >= RISES:
-            if self.behind < ENOUGH:
-                return rung
-            if rung < levels.OWN_SHARES:
+            self.capacity *= CAPACITY_GROWTH
+
+    def _target_level(self, now: int, votes: Sequence[Vote]) -> int:
+        level = self.level
+        if self.load >= RAISE_LOAD:
+            if self.outcomes < MIN_OUTCOMES:
+                return level
+            if level < levels.OWN_SHARES:
                 return levels.OWN_SHARES
-            return min(levels.LAST, rung + max(1, min(MOST_UP, self._rungs(votes))))
-        if rung == levels.OPEN:
-            return rung
-        rungs = self._rungs(votes)
-        if rungs >= 0 or (rungs == -1 and (self.load >= FALLS or now - self._up_at < CALM_NS)):
-            return rung
-        target = rung + rungs
-        # Who is beyond its share, and then retries, come back one after the other: how much that is nobody knows.
-        return max(target, levels.OWN_SHARES if rung > levels.OWN_SHARES else rung - 1)
-
-    def _rungs(self, votes: Sequence[Vote]) -> int:
-        """How many rungs up what is let in would be what nodes can do; negative: down."""
-        admitted = sum(vote.seen.admitted for vote in votes) / len(votes)
-        return levels.rungs_for(self.can_do / admitted) if admitted else -levels.LAST
-
-    def _stand(self, now: int, rung: int, step: Step) -> None:
-        self.step = step
-        if rung != self.rung:
-            self.rung, self.since, self._moved = rung, now, now
+            return min(levels.MAX_LEVEL, level + max(1, min(MAX_RAISE, self._levels_to_capacity(votes))))
+        if level == levels.OPEN:
+            return level
+        change = self._levels_to_capacity(votes)
+        if change >= 0 or (change == -1 and (self.load >= LOWER_LOAD or now - self._raised_at < COOLDOWN_NS)):
+            return level
+        target = level + change
+        # Requests beyond their tenant's share come back first, and retries after them: how many either are is
+        # unknown.
+        return max(target, levels.OWN_SHARES if level > levels.OWN_SHARES else level - 1)
+
+    def _levels_to_capacity(self, votes: Sequence[Vote]) -> int:
+        """Return how many levels up what is admitted would equal the nodes' capacity; negative for down."""
+        admitted = sum(vote.sample.admitted for vote in votes) / len(votes)
+        return levels.levels_for_share(self.capacity / admitted) if admitted else -levels.MAX_LEVEL
+
+    def _set_level(self, now: int, level: int, transition: Transition) -> None:
+        self.transition = transition
+        if level != self.level:
+            self.level, self.since, self._changed_at = level, now, now
--- a/covetally/spoken.py
+++ b/covetally/spoken.py
@@ -17,10 +17,10 @@
 from covetally.net.clock import Clock
 from covetally.net.frontend import Frontend
 from covetally.net.sidecar import Sidecar
-from covetally.overload.levels import name as rung_name
+from covetally.overload.levels import level_name
 from covetally.overload.member import Member
-from covetally.overload.pins import parse
-from covetally.overload.settings import Plan as LinePlan
+from covetally.overload.pins import parse_pin
+from covetally.overload.settings import OverloadConfig
 from covetally.words import Part
 from covetally.words.shell import Parts, Shell, Speaker
 
@@ -68,7 +68,7 @@
 
     # --- the line -------------------------------------------------------------------------------
 
-    def _with_line(self, now: int, plan: LinePlan, settings: Settings) -> Member:
+    def _with_line(self, now: int, plan: OverloadConfig, settings: Settings) -> Member:
         line = self._line
         if line is None:
             seed = secrets.randbits(64)
@@ -80,20 +80,21 @@
         if plan.pin != self._pin:
             # One that stands in the settings again after it lapsed, unchanged, is not a new one.
             self._pin = plan.pin
-            line.pin = parse(plan.pin, now) if plan.pin else None
+            line.pin = parse_pin(plan.pin, now) if plan.pin else None
             log.info("overload line: %s", f"an operator's hand on it: {plan.pin}" if plan.pin else "let go")
         return line
 
     def _advise(self, event: Event) -> None:
         self._sidecar.advise(event)
         line = self._line
-        if line is None or line.line.rung == self._rung:
+        if line is None or line.threshold.level == self._rung:
             return
         log.info(
             "overload line: %s (%s, load %.2f of where it moves, %d voters)",
-            rung_name(line.line.rung), line.line.step.value, line.line.load, line.line.voters,
+            level_name(line.threshold.level), line.threshold.transition.value, line.threshold.load,
+            line.threshold.voters,
         )  # fmt: skip
-        self._rung = line.line.rung
+        self._rung = line.threshold.level
 
     # --- caps -----------------------------------------------------------------------------------
 
