--- a/covetally/fleet/rollout.py
+++ b/covetally/fleet/rollout.py
@@ -32,7 +32,7 @@
 from dataclasses import asdict, dataclass, field
 from typing import Any
 
-from covetally.release import Answers, Verdict, clustering, judge
+from covetally.release import AnswerCounts, HealthStatus, compare_health, variance_inflation
 
 
 class State(enum.StrEnum):
@@ -142,11 +142,11 @@
 Action = Send | Restart | UndoWanted
 
 
-def _since(now: tuple[int, int], base: tuple[int, int]) -> Answers:
+def _since(now: tuple[int, int], base: tuple[int, int]) -> AnswerCounts:
     """What was answered since; a process that began anew counts from its start."""
     if now[0] < base[0] or now[1] < base[1]:
-        return Answers(*now)
-    return Answers(now[0] - base[0], now[1] - base[1])
+        return AnswerCounts(*now)
+    return AnswerCounts(now[0] - base[0], now[1] - base[1])
 
 
 class Rollout:
@@ -170,7 +170,7 @@
         self.dirty: set[str] = set(self.members)
         self._zero = now - spent
         self._others: dict[str, tuple[int, int]] = {}  # answers and bad ones of later waves as the soak began
-        self._slices: dict[str, deque[Answers]] = {}  # and what each answered since, heartbeat by heartbeat
+        self._slices: dict[str, deque[AnswerCounts]] = {}  # and what each answered since, heartbeat by heartbeat
         self._actions: list[Action] = []
         # Kept in step by `_set`, so that an event costs the same however many members there are.
         self._counts: Counter[State] = Counter()
@@ -562,19 +562,19 @@
     def _judge(self, now: float) -> None:
         """The health gate: are those that took it worse off than those that have not? Where all are worse off
         than before, it waits: see release.health."""
-        changed = before = Answers()
-        others: list[Answers] = []
-        slices: list[tuple[Answers, ...]] = []
+        changed = before = AnswerCounts()
+        others: list[AnswerCounts] = []
+        slices: list[tuple[AnswerCounts, ...]] = []
         for name, member in self.members.items():
             if member.state is State.TOOK:
                 changed += _since(member.now, member.base)
-                before += Answers(*member.prior)
+                before += AnswerCounts(*member.prior)
             elif member.wave > self.wave and name in self._others:
                 others.append(_since(member.now, self._others[name]))
                 slices.append(tuple(self._slices.get(name, ())))
-        inflation = clustering(slices)
-        health = judge(changed, others, before, self.plan.max_worse, self.plan.min_answers, inflation)
-        if health.verdict is Verdict.EVERYWHERE:
+        inflation = variance_inflation(slices)
+        health = compare_health(changed, others, before, self.plan.max_worse, self.plan.min_answers, inflation)
+        if health.status is HealthStatus.WORSE_EVERYWHERE:
             self.reason, self.soak_until = health.text, self.spent(now) + self.plan.soak_s
             for member in self.members.values():
                 if member.state is State.TOOK:
@@ -584,7 +584,7 @@
             return
         self.phase, self.reason = Phase.RUNNING, ""
         self.wave += 1
-        if health.verdict is Verdict.WORSE:
+        if health.status is HealthStatus.WORSE:
             self._trouble(now, health.text)
 
     def _begin_soak(self) -> None:
--- a/covetally/release/__init__.py
+++ b/covetally/release/__init__.py
@@ -1,5 +1,5 @@
-"""Whether a change is to blame for what is seen while it goes out. No I/O."""
+"""Compares the health of instances with and without a change during a rollout. Does no I/O."""
 
-from covetally.release.health import Answers, Health, Verdict, clustering, judge
+from covetally.release.health import AnswerCounts, HealthResult, HealthStatus, compare_health, variance_inflation
 
-__all__ = ["Answers", "Health", "Verdict", "clustering", "judge"]
+__all__ = ["AnswerCounts", "HealthResult", "HealthStatus", "compare_health", "variance_inflation"]
--- a/tests/fleet/test_rollout.py
+++ b/tests/fleet/test_rollout.py
@@ -208,7 +208,7 @@
 def test_a_storm_over_all_is_not_blamed_on_the_change_which_waits_until_it_is_over():
     fleet = soaked(300, 320)
     assert fleet.rollout.phase is Phase.SOAKING
-    assert "30.0% of 1000 answers, 32.0% where it is not, 0.0% before: another cause" in fleet.rollout.reason
+    assert "30.0% of 1000 answers, 32.0% without the change, 0.0% before: another cause" in fleet.rollout.reason
     fleet.beat("i00", 1100, 301)
     fleet.beat("i01", 8100, 3821)
     fleet.beat("i02", 1100, 321)
@@ -221,7 +221,7 @@
 def test_a_bad_change_does_not_hide_behind_a_storm():
     fleet = soaked(450, 320)
     assert fleet.rollout.phase is Phase.PAUSED
-    assert "45.0% of 1000 answers, 32.0% where it is not" in fleet.rollout.reason
+    assert "45.0% of 1000 answers, 32.0% without the change" in fleet.rollout.reason
 
 
 def test_one_that_began_anew_in_the_soak_counts_from_its_start():
@@ -245,7 +245,7 @@
     fleet.beat("i00", 2000, 600)
     fleet.beat("i01", 9000, 4140)
     fleet.pass_time(6)
-    assert fleet.rollout.phase is Phase.SOAKING and "32.0% where it is not" in fleet.rollout.reason
+    assert fleet.rollout.phase is Phase.SOAKING and "32.0% without the change" in fleet.rollout.reason
 
 
 def test_a_gate_does_not_blame_the_change_for_what_was_bad_before():
--- a/tests/release/test_processes.py
+++ b/tests/release/test_processes.py
@@ -1,4 +1,4 @@
-"""A change under way while something else goes wrong, on real processes under a real agent."""
+"""A rollout while something else goes wrong, with real sidecars under a real agent."""
 
 from __future__ import annotations
 
@@ -13,27 +13,28 @@
 from covetally.rig.world import Shape
 from tests.loopback import WAIT_S
 
-GATED = {"canary": 1, "shares": [1.0], "soak_s": 4.0, "instance_s": 5.0, "min_answers": 20, "max_worse": 0.05}
+PLAN = {"canary": 1, "shares": [1.0], "soak_s": 4.0, "instance_s": 5.0, "min_answers": 20, "max_worse": 0.05}
 
 
-async def table(world: Managed) -> dict:
+async def rollout_of(world: Managed) -> dict:
     return await world.get("/v1/rollouts/1")
 
 
-async def until_said(world: Managed, words: str) -> dict:
-    while words not in (found := await table(world))["why"]:
+async def until_reason(world: Managed, text: str) -> dict:
+    """Wait until the rollout's reason contains a text, and return the rollout."""
+    while text not in (found := await rollout_of(world))["why"]:
         assert found["phase"] != "done", found
         await asyncio.sleep(0.1)
     return found
 
 
 @pytest.mark.parametrize(
-    "share, values, said",
+    "share, values, reason",
     [(0.9, {"limits.max_attempts": 5}, "another cause than this change"),
-     (0.25, {"classes.module-lookup.aim_ms": 10, "classes.module-lookup.deadline_ms": 20}, "where it is not")],
-    ids=["a storm that has nothing to do with it", "a bad change in a storm"],
+     (0.25, {"classes.module-lookup.aim_ms": 10, "classes.module-lookup.deadline_ms": 20}, "without the change")],
+    ids=["an unrelated overload", "a bad change during an overload"],
 )  # fmt: skip
-def test_a_gate_tells_a_storm_from_a_bad_change(share, values, said):
+def test_health_gate_distinguishes_an_overload_from_a_bad_change(share, values, reason):
     async def main():
         async with asyncio.timeout(2 * WAIT_S), Managed(Shape(nodes=4, instances=4)) as world:
             await world.start_agent()
@@ -46,11 +47,12 @@
             await asyncio.sleep(2.0)
             for name in world.nodes:
                 world.mood(name, fail_fast=share)
-            await asyncio.sleep(1.5)  # two heartbeats: what is compared begins in the storm at all of them
-            body = {"parent": 0, "plan": GATED, "set": values, "anyway": True}
+            # Two heartbeats, so that the compared time begins during the overload at all sidecars.
+            await asyncio.sleep(1.5)
+            body = {"parent": 0, "plan": PLAN, "set": values, "anyway": True}
             where = client.target(world.agent_address, None)
             await asyncio.to_thread(client.call, where, "POST", "/v1/revisions", body)
-            found = await until_said(world, said)
+            found = await until_reason(world, reason)
             if len(values) == 2:
                 assert found["phase"] == "paused" and found["counts"].get("took") == 1
             else:
