--- a/covetally/net/attempt.py
+++ b/covetally/net/attempt.py
@@ -25,12 +25,12 @@
 
 import httptools
 
-from covetally.interface import How
-from covetally.net.message import Broken, End, Malformed, Switched
+from covetally.interface import AttemptStatus
+from covetally.net.http_message import Broken, End, Malformed, SwitchedConnection
 from covetally.net.outcome import NO_LOAD, Bounds, Outcome, Request
-from covetally.net.reply import SWITCHED, Come, Reply
+from covetally.net.response_reader import SWITCHED, ResponseResult, ResponseReader
 from covetally.net.server import Owner, Server
-from covetally.net.stream import Stream, tcp_info, unconnected
+from covetally.net.stream import Stream, tcp_info, create_tcp_socket
 from covetally.net.wheel import Timer
 
 log = logging.getLogger(__name__)
@@ -75,15 +75,15 @@
         self._pause: asyncio.TimerHandle | Timer | None = None  # ends CONNECTING, SETTLING, HOLDING and TAIL
         self._sent = False  # the last byte is the kernel's: from here on it may have run
         self._reused = False
-        self._verdict: How | None = None  # told by an answer's head; nothing after it can change that
-        self._reply = Reply(request, owner.read_load)
+        self._verdict: AttemptStatus | None = None  # told by an answer's head; nothing after it can change that
+        self._reply = ResponseReader(request, owner.read_load)
         self._epoch = 0
         self._phase = CONNECTING
         self._abandon: Timer | None = None
         self._starting = True  # no outcome must be told yet
         if server is None or server.leaving:
             self._phase = OVER
-            self._tell(Outcome(How.MOOT if server else How.CONNECT_FAILED, NO_LOAD))
+            self._tell(Outcome(AttemptStatus.NOT_SENT if server else AttemptStatus.CONNECT_FAILED, NO_LOAD))
             return
         self._server = server
         server.unsent.add(self)
@@ -93,7 +93,7 @@
             self._begin()
         except Exception:
             log.exception("an attempt failed by a bug")
-            self._end(How.RESET)
+            self._end(AttemptStatus.RESET)
         self._starting = False
 
     # --- before it may have run -----------------------------------------------------------------
@@ -104,7 +104,7 @@
             self._connect()
             return
         self._stream, rest_s, settling_s = rested
-        self._stream.on_news, self._stream.on_room = self._news, self._room
+        self._stream.on_input, self._stream.on_flushed = self._news, self._room
         self._reused = True
         self._epoch = self._server.epoch
         if settling_s > 0:
@@ -122,10 +122,10 @@
         self._phase = CONNECTING
         self._epoch = self._server.epoch
         if not owner.reserve():
-            self._end(How.MOOT)  # it says nothing of the server
+            self._end(AttemptStatus.NOT_SENT)  # it says nothing of the server
             return
         try:
-            self._socket = sock = unconnected(address)
+            self._socket = sock = create_tcp_socket(address)
         except OSError as failure:
             owner.release()
             self._end(owner.fault_of(self._server, failure.errno))
@@ -156,7 +156,7 @@
         except OSError:
             error = 0  # what is written to it will tell
         if error:
-            self._end(How.CONNECT_FAILED)
+            self._end(AttemptStatus.CONNECT_FAILED)
             return
         self._owner.loop.remove_writer(sock.fileno())
         self._unwait()
@@ -176,7 +176,7 @@
 
     def _no_connection(self) -> None:
         """The time for a connection is over. One that the kernel has up is no fault of the server's."""
-        self._end(How.MOOT if self._came_up() else How.CONNECT_FAILED)
+        self._end(AttemptStatus.NOT_SENT if self._came_up() else AttemptStatus.CONNECT_FAILED)
 
     def _came_up(self) -> bool:
         return self._socket is not None and tcp_info(self._socket)[0]
@@ -187,7 +187,7 @@
         self._pause = None
         left_ns = self._bounds.abandon_ns - self._owner.clock.now()
         if left_ns < LEAST_LEFT_NS or not self._bounds.wanted():
-            self._end(How.MOOT)  # this process is late, or nobody is left to have the answer
+            self._end(AttemptStatus.NOT_SENT)  # this process is late, or nobody is left to have the answer
             return
         data = self._request.encode(left_ns / 1e9)
         if not hold_back_s:
@@ -208,15 +208,17 @@
         self._pause = None
         stream = self._stream
         assert stream is not None
-        if not looked and stream.disturbed():
+        if not looked and stream.has_input():
             self._unfit()
             return
         if self._server.leaving:
-            self._end(How.MOOT)  # `bar` is about to be called: what has come first must not be written
+            self._end(
+                AttemptStatus.NOT_SENT
+            )  # `bar` is about to be called: what has come first must not be written
             return
         begin_by_ns = self._bounds.begin_by_ns
         if begin_by_ns and self._owner.clock.now() >= begin_by_ns:
-            self._end(How.MOOT)  # its connection took too long to come up
+            self._end(AttemptStatus.NOT_SENT)  # its connection took too long to come up
             return
         self._phase = LAST
         if self._send(self._last):
@@ -257,7 +259,7 @@
             self._phase = RECEIVING
             self._receive()
         else:
-            self._end(How.RESET)
+            self._end(AttemptStatus.RESET)
 
     def abandon_by(self, at_ns: int) -> None:
         """Be given up at `at_ns` on the owner's clock, if that is earlier than what it was to keep to."""
@@ -271,7 +273,7 @@
     def bar(self) -> None:
         """The server wants nothing new any more. That says nothing against it."""
         if not self._sent and self._server.leaving:
-            self._end(How.MOOT)
+            self._end(AttemptStatus.NOT_SENT)
 
     # --- the answer -----------------------------------------------------------------------------
 
@@ -289,7 +291,7 @@
         try:
             while parts := stream.parts():
                 while parts:
-                    come = self._reply.take(parts.popleft(), self._sent)
+                    come = self._reply.add_part(parts.popleft(), self._sent)
                     if come is not None:
                         self._came(come)
                         return
@@ -297,33 +299,33 @@
             # Guards against any answer that cannot be told to be whole and this request's own. A connection
             # that ends inside an answer is no spoilt answer but a reset.
             log.warning("answer not usable: %.200s", error)
-            self._end(How.RESET if stream.ended else How.SPOILT)
+            self._end(AttemptStatus.RESET if stream.ended else AttemptStatus.UNUSABLE_RESPONSE)
         except OSError:
-            self._end(How.RESET)
+            self._end(AttemptStatus.RESET)
 
     def _lag_ns(self) -> int:
         assert self._stream is not None
         return max(0, self._stream.received_at - self._began_ns)
 
-    def _came(self, come: Come) -> None:
+    def _came(self, come: ResponseResult) -> None:
         """All that counts of the answer is here."""
         stream = self._stream
         assert stream is not None
-        if come.how in (How.FULL, How.ERROR):
+        if come.how in (AttemptStatus.FULL, AttemptStatus.ERROR):
             # The head has told all; its rest is worth a short wait, for the sake of the connection.
             self._verdict = come.how
             self._phase = TAIL
             self._wait(TAIL_S, self._end_tail)
             self._read_tail()
             return
-        answer, lag_ns = come.answer, self._lag_ns()
+        answer, lag_ns = come.response, self._lag_ns()
         assert answer is not None
         if answer.status == SWITCHED:
             sock, early = stream.detach()
             self._stream = None
             self._owner.release()
-            answer = answer._replace(switched=Switched(sock, early))
-        elif come.how is How.OK:
+            answer = answer._replace(switched=SwitchedConnection(sock, early))
+        elif come.how is AttemptStatus.OK:
             self._give_back()
         self._finish(Outcome(come.how, self._reply.load, answer, lag_ns))
 
@@ -353,7 +355,7 @@
         """Keep the connection of a finished exchange if it may carry another."""
         stream, server = self._stream, self._server
         assert stream is not None
-        if self._sent and not server.leaving and self._epoch == server.epoch and stream.recycle():
+        if self._sent and not server.leaving and self._epoch == server.epoch and stream.prepare_next_message():
             self._stream = None
             self._owner.add_idle(server, stream)
 
@@ -363,7 +365,7 @@
         """Call it off: its connection is closed now, its outcome told soon."""
         if self._phase is not OVER:
             self._starting = True
-            self._finish(Outcome(How.CANCELLED, self._reply.load))
+            self._finish(Outcome(AttemptStatus.CANCELLED, self._reply.load))
 
     def _abandoned(self) -> None:
         """Its time is up. That says of the server only what the sockets show, never how late this process ran.
@@ -376,22 +378,22 @@
         """
         stream = self._stream
         if self._sent:
-            how = How.CANCELLED if stream is not None and stream.disturbed() else How.TIMEOUT
+            how = AttemptStatus.CANCELLED if stream is not None and stream.has_input() else AttemptStatus.TIMEOUT
         else:
             connecting = self._socket is not None and not self._came_up()
-            how = How.CONNECT_FAILED if connecting else How.MOOT
+            how = AttemptStatus.CONNECT_FAILED if connecting else AttemptStatus.NOT_SENT
         self._end(how)
 
-    def _end(self, how: How) -> None:
+    def _end(self, how: AttemptStatus) -> None:
         """It has failed: tell what that proves."""
         if self._phase is OVER:
             return
-        if how is How.RESET and self._reused and not self._reply.answered:
+        if how is AttemptStatus.RESET and self._reused and not self._reply.head_received:
             self._owner.broke()
         if self._verdict is not None:
             how = self._verdict
-        elif not self._sent and how is not How.MOOT:
-            how = How.CONNECT_FAILED
+        elif not self._sent and how is not AttemptStatus.NOT_SENT:
+            how = AttemptStatus.CONNECT_FAILED
         self._finish(Outcome(how, self._reply.load))
 
     def _finish(self, outcome: Outcome) -> None:
--- a/covetally/net/discovery.py
+++ b/covetally/net/discovery.py
@@ -25,7 +25,7 @@
 from covetally.net import asking
 from covetally.net.config import Address
 from covetally.net.discovery_call import DiscoveryCall
-from covetally.net.message import Malformed
+from covetally.net.http_message import Malformed
 from covetally.net.server_list import ListError, ListUpdate, read_list, salvage
 from covetally.net.waiting import Waiting
 
@@ -57,7 +57,7 @@
     """Keeps the list known. What it has learnt stays valid when discovery is down."""
 
     def __init__(self, settings: Settings, address: Address) -> None:
-        self._pushed = not settings.must_ask
+        self._pushed = not settings.must_subscribe
         self._settings = settings
         self._grace_s = settings.invariants.drain_grace_ns / 1e9
         self._address = address
@@ -138,7 +138,7 @@
 
     def _take_connection(self) -> Waiting | None:
         connection, self._connection = self._connection, None
-        if connection is not None and connection.disturbed():
+        if connection is not None and connection.has_input():
             connection.close()
             return None
         return connection
--- a/covetally/net/upstream.py
+++ b/covetally/net/upstream.py
@@ -8,13 +8,13 @@
 from collections.abc import Callable
 from functools import partial
 
-from covetally.interface import Entry, How, Settings
+from covetally.interface import ServerEntry, AttemptStatus, Settings
 from covetally.net.attempt import Attempt
 from covetally.net.clock import Clock
 from covetally.net.config import Address
 from covetally.net.outcome import NO_LOAD, Bounds, Load, Outcome, Request
 from covetally.net.server import Server
-from covetally.net.stream import Stream, unwanted
+from covetally.net.stream import Stream, ignore_event
 from covetally.net.system_errors import LOCAL_CONNECT
 
 log = logging.getLogger(__name__)
@@ -59,7 +59,7 @@
 
     # --- the list -------------------------------------------------------------------------------
 
-    def update(self, entries: list[tuple[Entry, Address]], whole: bool) -> None:
+    def update(self, entries: list[tuple[ServerEntry, Address]], whole: bool) -> None:
         """An update of service discovery, with each server's address."""
         gone = self._servers.keys() - {entry.server for entry, _ in entries} if whole else set()
         for entry, address in entries:
@@ -96,7 +96,7 @@
     def _drop(self, server: Server, stream: Stream) -> None:
         """Close an idle connection."""
         del server.idle[stream]
-        stream.on_news = unwanted
+        stream.on_input = ignore_event
         stream.abort()
         self._open -= 1
 
@@ -104,9 +104,9 @@
         """Take the connection of a finished exchange to rest, for less time than the server would."""
         now = self.loop.time()
         server.idle[stream] = now
-        stream.on_room = unwanted
+        stream.on_flushed = ignore_event
         # Bytes that come now were asked for by nobody: they must never become the next request's answer.
-        stream.on_news = partial(self._drop, server, stream)
+        stream.on_input = partial(self._drop, server, stream)
         if server.sweep is None:
             server.sweep = self.wheel.call_at(now + self._idle_s, partial(self._swept, server))
 
@@ -134,7 +134,7 @@
                     stream = other
                     break
             since = idle[stream]
-            if stream.disturbed():
+            if stream.has_input():
                 self._drop(server, stream)
             else:
                 del idle[stream]
@@ -156,19 +156,19 @@
         """A connection has gone, or did not come up."""
         self._open -= 1
 
-    def fault_of(self, server: Server, error: int | None) -> How:
+    def fault_of(self, server: Server, error: int | None) -> AttemptStatus:
         """What a dial that failed at once with this errno proves.
 
         A lack of this machine's own (descriptors, memory, ports, a route) says nothing of the server. Guards
         against a moment in which all dials fail here and every server is put into backoff for it. Where dials to
         one server go on failing so while others come up, the lack is on the way to that server, and counts."""
         if error not in LOCAL_CONNECT:
-            return How.CONNECT_FAILED
+            return AttemptStatus.CONNECT_FAILED
         if not server.local_failures:
             server.local_since = self.loop.time()
         server.local_failures += 1
         alone = server.local_failures >= LOCAL_FAILURES and self._came_up_at > server.local_since
-        return How.CONNECT_FAILED if alone else How.MOOT
+        return AttemptStatus.CONNECT_FAILED if alone else AttemptStatus.NOT_SENT
 
     def came_up(self, server: Server) -> None:
         """A connection to it has come up."""
--- a/covetally/overload/load.py
+++ b/covetally/overload/load.py
@@ -11,15 +11,14 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from covetally.interface import SECOND, How, Response, Settings
+from covetally.interface import SECOND, AttemptStatus, AttemptEnded, Settings
 
 WINDOW_NS = SECOND // 4
 WINDOWS = 2
 LATE_SHARE = 0.1  # share of late or timed-out attempts that is a load of 1
 MAX_WAIT_NS = 60 * SECOND  # a longer reported wait is taken as an error of the report
-IGNORED_OUTCOMES = frozenset(
-    {How.CANCELLED, How.MOOT, How.CONNECT_FAILED}
-)  # caused by links and clients, not load
+# Caused by links and clients, not by load.
+IGNORED_OUTCOMES = frozenset({AttemptStatus.CANCELLED, AttemptStatus.NOT_SENT, AttemptStatus.CONNECT_FAILED})
 
 
 @dataclass(slots=True)
@@ -67,13 +66,13 @@
         """Count an admitted request that got its answer."""
         self._current.served += served
 
-    def record_attempt(self, event: Response, late: bool) -> None:
+    def record_attempt(self, event: AttemptEnded, late: bool) -> None:
         """Count an attempt that ended; `late` says whether that was after its class's aim."""
-        if event.how in IGNORED_OUTCOMES:
+        if event.status in IGNORED_OUTCOMES:
             return
         counts = self._current
         counts.ended += 1
-        counts.late += late or event.how in (How.TIMEOUT, How.FULL)
+        counts.late += late or event.status in (AttemptStatus.TIMEOUT, AttemptStatus.FULL)
         wait = reported_wait(event.load)
         if wait is not None:
             counts.wait_sum_ns += wait
--- a/covetally/overload/member.py
+++ b/covetally/overload/member.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from covetally.interface import SECOND, Line as ThresholdUpdate, Response, Settings
+from covetally.interface import SECOND, AdmissionThreshold, AttemptEnded, Settings
 from covetally.overload import backoff, levels
 from covetally.overload.threshold import LOWER_LOAD, Threshold, Vote
 from covetally.overload.priorities import Priorities, rank
@@ -19,8 +19,8 @@
 from covetally.overload.shares import TenantShares
 from covetally.overload.budgets import RETRIES_PER_REQUEST, interval_ns, max_saved_retries
 from covetally.overload.messages import Echo, ThresholdMessage, decode, encode
-from covetally.words import Newest, Part, Word, first_number
-from covetally.words.shell import ALL, Send
+from covetally.gossip import LatestMessages, Topic, Message, first_sequence
+from covetally.gossip.transport import BROADCAST, Outgoing
 
 MESSAGE_TTL_NS = 3 * SECOND // 2  # a received message counts this long
 SENDERS_PER_ROUND = 16  # members of the whole fleet that send in one window
@@ -39,12 +39,12 @@
 
 
 class Member:
-    """The member with index `me` of `size`; `life` is random at each start. Times: ns on one monotonic clock."""
+    """The member with index `me` of `size`; `incarnation` is random at each start. Times in ns."""
 
     def __init__(
-        self, me: int, size: int, life: int, seed: int, now: int, settings: Settings, policy: Policy
+        self, me: int, size: int, incarnation: int, seed: int, now: int, settings: Settings, policy: Policy
     ) -> None:
-        self.me, self.size, self.life, self.policy = me, size, life, policy
+        self.me, self.size, self.incarnation, self.policy = me, size, incarnation, policy
         self._random = random.Random(seed).random
         self._settings = settings
         self._priorities = Priorities(settings)
@@ -56,13 +56,15 @@
         self.expired_pin: Pin | None = None  # the last pin that has expired
         self.refused: Counter[tuple[int, str]] = Counter()  # by class and name of the level
         self.garbage = 0
-        self._messages: Newest[ThresholdMessage] = Newest(me, MESSAGE_TTL_NS)
-        self._number = first_number(now)
+        self._messages: LatestMessages[ThresholdMessage] = LatestMessages(me, MESSAGE_TTL_NS)
+        self._sequence = first_sequence(now)
         self._next_update_at = now
-        self._sent: deque[tuple[int, int]] = deque(maxlen=64)  # numbers of own messages, and when they were sent
+        self._sent: deque[tuple[int, int]] = deque(
+            maxlen=64
+        )  # sequence numbers of own messages, and when they were sent
         self.delay_ns = 0  # one-way delay of messages, measured by echoes
         self._delay_measured_at = 0
-        self._last_received = (0, 0, now - MESSAGE_TTL_NS)  # sender, number and time of the last message
+        self._last_received = (0, 0, now - MESSAGE_TTL_NS)  # sender, sequence and time of the last message
         self.due = now + WINDOW_NS
 
     # --- requests -------------------------------------------------------------------------------
@@ -80,39 +82,39 @@
         """Count a request that got its answer."""
         self.load_monitor.record_answer(served)
 
-    def outcome(self, event: Response, cls: int) -> None:
+    def outcome(self, event: AttemptEnded, cls: int) -> None:
         """Count an attempt that has ended."""
         aim = self._aims[cls] if 0 <= cls < len(self._aims) else self._aims[0]
-        self.load_monitor.record_attempt(event, event.lag_ns > aim)
+        self.load_monitor.record_attempt(event, event.latency_ns > aim)
 
     # --- messages -------------------------------------------------------------------------------
 
-    def heard(self, now: int, word: Word) -> list[Send]:
-        """Receive another member's message; raise BadWord if its body is damaged."""
-        if word.sender < self.size:
-            message = decode(word.body)
-            if self._messages.heard(now, word, message):
-                self._last_received = (word.sender, word.number % 65536, now)
-                if message.echo is not None and message.echo.sender == self.me:
-                    self._measure_delay(now, message.echo)
+    def receive(self, now: int, message: Message) -> list[Outgoing]:
+        """Receive another member's message; raise MalformedMessageError if its body is malformed."""
+        if message.sender < self.size:
+            content = decode(message.body)
+            if self._messages.record(now, message, content):
+                self._last_received = (message.sender, message.sequence % 65536, now)
+                if content.echo is not None and content.echo.sender == self.me:
+                    self._measure_delay(now, content.echo)
         return []
 
     def _measure_delay(self, now: int, echo: Echo) -> None:
         """Update the delay from an echo of an own message: half of the round trip."""
-        at = next((at for number, at in self._sent if number % 65536 == echo.number), None)
+        at = next((at for sequence, at in self._sent if sequence % 65536 == echo.sequence), None)
         if at is not None:
             one_way = max(0, now - at - echo.held_ns) // 2
             self.delay_ns += (one_way - self.delay_ns) // 2 if self._delay_measured_at else one_way
             self._delay_measured_at = now
 
-    def tick(self, now: int) -> list[Send]:
+    def tick(self, now: int) -> list[Outgoing]:
         """Evaluate once per window, and return the message to send to all, if any. Next at `due`."""
         if now < self.due:
             return []
         self.due = now + WINDOW_NS
         self.load_monitor.rotate(now)
         own = self.load_monitor.sample()
-        received = [(message, at) for _, message, at in self._messages.fresh(now)]
+        received = [(message, at) for _, message, at in self._messages.unexpired(now)]
         if self.delay_ns > MAX_DELAY_NS and now - self._delay_measured_at < DELAY_TTL_NS:
             received = []
         least, most = self._level_bounds(now)
@@ -122,15 +124,15 @@
         calm = self.threshold.level == levels.OPEN and self.threshold.load < LOWER_LOAD and own.ratio < LOWER_LOAD
         if self._random() >= SENDERS_PER_ROUND / self.size / (CALM_DIVISOR if calm else 1):
             return []
-        self._number += 1
-        self._sent.append((self._number, now))
+        self._sequence += 1
+        self._sent.append((self._sequence, now))
         echo = (
             Echo(*self._last_received[:2], now - self._last_received[2])
             if now - self._last_received[2] < MESSAGE_TTL_NS
             else None
         )
         body = encode(ThresholdMessage(self.threshold.level, self.threshold.level if self.pin else -1, own, echo))
-        return [Send(ALL, Word(Part.LINE, self.me, self.life, self._number, body))]
+        return [Outgoing(BROADCAST, Message(Topic.OVERLOAD, self.me, self.incarnation, self._sequence, body))]
 
     def _level_bounds(self, now: int) -> tuple[int, int]:
         """Return the least and the highest level that a pin allows, and end a pin that has expired."""
@@ -139,17 +141,17 @@
             self.pin, self.expired_pin, pin = None, pin, None
         return (pin.least, pin.most) if pin is not None else (levels.OPEN, levels.MAX_LEVEL)
 
-    def leave(self, now: int) -> list[Send]:
+    def leave(self, now: int) -> list[Outgoing]:
         """Return the messages to send at the end: none, since messages expire by themselves."""
         return []
 
-    def told(self, now: int) -> list[ThresholdUpdate]:
+    def events(self, now: int) -> list[AdmissionThreshold]:
         """Return the update for the balancer, once per evaluation."""
         if now < self._next_update_at:
             return []
         self._next_update_at = self.due
         level = self.threshold.level
-        return [ThresholdUpdate(
+        return [AdmissionThreshold(
             now + UPDATE_TTL_NS, levels.threshold_of(level),
             backoff.hold_off_ns(level, self._settings.limits.max_retry_after_ns),
             RETRIES_PER_REQUEST * levels.retry_budget_factor(level), max_saved_retries(self.size),
@@ -169,7 +171,7 @@
             "rung": threshold.level, "step": levels.level_name(threshold.level),
             "for_s": round((now - threshold.since) / SECOND, 1),
             "why": threshold.transition.value, "load": round(threshold.load, 2), "voters": threshold.voters,
-            "heard": sum(1 for _ in self._messages.fresh(now)),
+            "heard": sum(1 for _ in self._messages.unexpired(now)),
             "pin": self.pin.text if self.pin else "", "pin_for_s": self._pin_remaining_s(now),
             "lapsed": self.expired_pin.text if self.expired_pin else "",
             "refused": {
--- a/covetally/overload/messages.py
+++ b/covetally/overload/messages.py
@@ -1,4 +1,4 @@
-"""A member's overload message: the body of a gossip message (covetally/words). All numbers are big-endian.
+"""A member's overload message: the body of a gossip message (covetally/gossip). All numbers are big-endian.
 
 bytes  content
 1      the member's level
@@ -8,7 +8,7 @@
 2      requests admitted in the last half second
 2      requests served
 2      echo: the sender of the last message received; 65535: none
-2      the low two bytes of that message's number
+2      the low two bytes of that message's sequence number
 1      the time since it was received, in units of 20 ms
 1      number of tenants that follow, at most 32
 3 per  tenant (1 byte) and its requests (2 bytes)
@@ -22,7 +22,7 @@
 
 from covetally.overload.levels import MAX_LEVEL
 from covetally.overload.load import LoadSample
-from covetally.words import BadWord
+from covetally.gossip import MalformedMessageError
 
 HEAD = Struct(">BBHHHHHHBB")
 TENANT = Struct(">BH")
@@ -33,13 +33,13 @@
 
 
 class Echo(NamedTuple):
-    """The sender and number of the last message received, and how long before this one that was, in ns.
+    """The sender and sequence number of the last message received, and how long before this one, in ns.
 
     Its sender calculates from it how long messages take.
     """
 
     sender: int
-    number: int
+    sequence: int
     held_ns: int
 
 
@@ -67,18 +67,18 @@
 def _echo(echo: Echo | None) -> tuple[int, int, int]:
     if echo is None:
         return MAX_UINT16, 0, 0
-    return echo.sender, echo.number, min(255, echo.held_ns // ECHO_UNIT_NS)
+    return echo.sender, echo.sequence, min(255, echo.held_ns // ECHO_UNIT_NS)
 
 
 def decode(body: bytes) -> ThresholdMessage:
-    """Return the message in a body; raise BadWord if it is too short or a number is out of range."""
+    """Return the message in a body; MalformedMessageError if it is too short or a number is out of range."""
     try:
         level, pin, weight, ratio, admitted, served, *echoed, count = HEAD.unpack_from(body)
         tenants = tuple(TENANT.unpack_from(body, HEAD.size + i * TENANT.size) for i in range(count))
     except error as damage:
-        raise BadWord(str(damage)) from None
+        raise MalformedMessageError(str(damage)) from None
     if level > MAX_LEVEL or count > MAX_TENANTS or (pin > MAX_LEVEL and pin != NO_PIN):
-        raise BadWord("a number is out of range")
+        raise MalformedMessageError("a number is out of range")
     echo = None if echoed[0] == MAX_UINT16 else Echo(echoed[0], echoed[1], echoed[2] * ECHO_UNIT_NS)
     sample = LoadSample(weight, ratio / 100, admitted, served, tenants)
     return ThresholdMessage(level, -1 if pin == NO_PIN else pin, sample, echo)
--- a/covetally/overload/priorities.py
+++ b/covetally/overload/priorities.py
@@ -45,7 +45,7 @@
         # The scale of the least class reaches the end of the band. Otherwise the first levels above "own shares"
         # would refuse no request.
         self.scales = tuple(max(1.0, scale * FIRST_TRIES_END / least) for scale in raw)
-        self._marks_retry = settings.marks_retry
+        self._marks_retry = settings.clients_mark_retries
 
     def priority_of(self, cls: int, rank_: float, covered: float, retry: bool) -> float:
         """Return a request's priority. `covered` is the fraction of its tenant's requests within the share."""
--- a/covetally/process.py
+++ b/covetally/process.py
@@ -18,13 +18,13 @@
 from typing import TYPE_CHECKING, Any, Protocol
 
 from covetally.configuration import NO_ROSTER, Configuration
-from covetally.interface import Directory
+from covetally.interface import ServerListUpdate
 from covetally.loop_monitor import LoopMonitor
-from covetally.net import early
+from covetally.net import startup_signals
 from covetally.net.clock import Clock
 from covetally.net.config import ConfigError
 from covetally.net.discovery import Discovery
-from covetally.net.frontend import Frontend, bound
+from covetally.net.frontend import Frontend, create_listener
 from covetally.net.peers import Peers
 from covetally.net.seams import Claims
 from covetally.net.server_list import ListError, ListUpdate, read_list
@@ -41,11 +41,11 @@
     from covetally.membership.roster import Roster
     from covetally.membership.settings import Plan
     from covetally.operator.schema import Values
-    from covetally.spoken import Spoken
+    from covetally.shared_decisions import SharedDecisions
     from covetally.tier.shell import Shell
 
 TIER_MARK, TIER_LEAST = 0x54, 18  # see covetally/tier/wire.py
-WORD_MARK, WORD_LEAST = 0x57, 13  # see covetally/words/frame.py
+WORD_MARK, WORD_LEAST = 0x57, 13  # see covetally/gossip/frame.py
 LISTEN_TRIES = dict.fromkeys(LACKS, 50) | {errno.EADDRINUSE: 10}  # by what failed; other errors are final
 LISTEN_PAUSE_S = 0.1
 log = logging.getLogger("covetally")
@@ -83,7 +83,7 @@
         self.on_ready: Callable[[], None] | None = None
         self.roster: Roster | None = None
         self.tier: Shell | None = None
-        self.spoken: Spoken | None = None
+        self.shared_decisions: SharedDecisions | None = None
         self.registrar: Registrar | None = None
         self.monitor = LoopMonitor()
         self.clock = clock = Clock()
@@ -114,7 +114,7 @@
 
     def drain(self, within_s: float | None) -> None:
         """Tell clients to stay away, and hold none of them after so many seconds."""
-        self.frontend.drain_by_order(within_s)
+        self.frontend.start_drain(within_s)
 
     def resume(self) -> None:
         """Let clients come back."""
@@ -153,7 +153,7 @@
         signals.on(signal.SIGHUP, asked.set)
         await self._start()
         signals.on(signal.SIGHUP, self.reload)
-        if asked.is_set() or early.told():
+        if asked.is_set() or startup_signals.sighup_received():
             self.reload()
         if self.manager is not None:
             self.manager.start()
@@ -179,7 +179,7 @@
             except ListError as error:
                 log.warning("known: no usable list: %s", error)
         self.discovery.on_list = self._listed
-        self.discovery.on_failure = lambda: self.sidecar.directory(Directory("FAILED"))
+        self.discovery.on_failure = lambda: self.sidecar.directory(ServerListUpdate("FAILED"))
         self.peers.on_message = self._datagram
         if config.peer_listen is not None:
             await _bind("peer_listen", lambda: self.peers.listen(config.peer_listen))
@@ -196,9 +196,9 @@
         if self.manager is not None:
             self.manager.restore_orders()
         if self.member is not None:
-            self.address = self.frontend.adopt(self.member.listener, self.member.claims)
+            self.address = self.frontend.start_accepting(self.member.listener, self.member.claims)
         else:
-            self.address = self.frontend.adopt(await self._listener())
+            self.address = self.frontend.start_accepting(await self._listener())
         if self.roster is None:
             self.discovery.start()
         if "register.app" in self.values:
@@ -217,7 +217,7 @@
         tries = 0
         while True:
             try:
-                return bound(config.listen, config.backlog)
+                return create_listener(config.listen, config.backlog)
             except OSError as error:
                 tries += 1
                 if tries >= LISTEN_TRIES.get(error.errno or 0, 1):
@@ -229,7 +229,7 @@
     def _apply_update(self, news: ListUpdate, scope: str) -> None:
         # Upstream first: the module may submit to a server in the same breath as it hears of it.
         self.upstream.update(news.entries, news.whole)
-        self.sidecar.directory(Directory(scope, tuple(entry for entry, _ in news.entries)))
+        self.sidecar.directory(ServerListUpdate(scope, tuple(entry for entry, _ in news.entries)))
         if self.tier is not None:
             self.tier.listed(self.sidecar.zones())
 
@@ -239,8 +239,8 @@
         """The module's rumours have 8 bytes; the tier's messages begin with their mark and have more."""
         if self.tier is not None and len(data) > TIER_LEAST and data[0] == TIER_MARK:
             self.tier.heard(sender, data)
-        elif self.spoken is not None and len(data) >= WORD_LEAST and data[0] == WORD_MARK:
-            self.spoken.heard(sender, data)
+        elif self.shared_decisions is not None and len(data) >= WORD_LEAST and data[0] == WORD_MARK:
+            self.shared_decisions.receive(sender, data)
         else:
             self.sidecar.heard(data)
 
@@ -265,21 +265,27 @@
 
     def _respeak(self) -> None:
         """Take part in what sidecars decide by words, as is wanted now."""
-        if self.spoken is None:
+        if self.shared_decisions is None:
             if self.configuration.overload is None and self.configuration.caps is None:
                 return
-            from covetally.spoken import Spoken
+            from covetally.shared_decisions import SharedDecisions
 
-            self.spoken = Spoken(self.clock, self.peers.send, self.sidecar, self.frontend)
-        self.spoken.adopt(self.configuration)
+            self.shared_decisions = SharedDecisions(self.clock, self.peers.send, self.sidecar, self.frontend)
+        self.shared_decisions.apply_configuration(self.configuration)
 
     async def overload_table(self) -> dict[str, Any]:
         """Where the fleet's overload line stands here, for operators."""
-        return self.spoken.line_table() if self.spoken is not None else {"off": "overload.mode is off here"}
+        return (
+            self.shared_decisions.overload_table()
+            if self.shared_decisions is not None
+            else {"off": "overload.mode is off here"}
+        )
 
     async def caps_table(self) -> dict[str, Any]:
         """Workshops' connection caps as they stand here, for operators."""
-        return self.spoken.caps_table() if self.spoken is not None else {"off": "no caps here"}
+        return (
+            self.shared_decisions.caps_table() if self.shared_decisions is not None else {"off": "no caps here"}
+        )
 
     async def tier_table(self) -> dict[str, Any]:
         """What this sidecar knows of its tier, for operators."""
@@ -342,13 +348,13 @@
             await self.registrar.stop(cancel=not alone)
         if self.manager is not None:
             self.manager.goodbye()
-        await self.frontend.drain(self.configuration.shutdown.closed_s, accept=not alone)
+        await self.frontend.shut_down(self.configuration.shutdown.closed_s, accept=not alone)
         self.monitor.stop()
         self.discovery.stop()
         if self.tier is not None:
             self.tier.stop()
-        if self.spoken is not None:
-            self.spoken.stop()
+        if self.shared_decisions is not None:
+            self.shared_decisions.stop()
         if self.roster is not None:
             self.roster.stop()
             await self.roster.saved()
--- a/tests/drainplan/test_processes.py
+++ b/tests/drainplan/test_processes.py
@@ -18,7 +18,7 @@
 from covetally.rig.site import LOAD_CLASSES, TENANTS
 from covetally.rig.together import KNOWN_S, ORDER
 from covetally.rig.world import Shape
-from tests.loopback import WAIT_S, until
+from tests.loopback import TEST_TIMEOUT_S, wait_until
 
 SIZE = 6  # two in each of the zones a, b, c
 
@@ -26,7 +26,7 @@
 @contextlib.asynccontextmanager
 async def supervised(module: str = COMMAND):
     """Start an agent that supervises the sidecars; yield the test cluster and a watch of their health."""
-    async with asyncio.timeout(4 * WAIT_S), Managed(Shape(nodes=3, instances=SIZE)) as world:
+    async with asyncio.timeout(4 * TEST_TIMEOUT_S), Managed(Shape(nodes=3, instances=SIZE)) as world:
         await world.start_supervised(module)
         await asyncio.sleep(3.2)  # a new agent only listens at first
         watch = Watch(world)
@@ -74,7 +74,7 @@
                 await asyncio.sleep(0.3 + 0.4 * attempt)
                 await world.kill_agent()
                 await world.start_supervisor()
-                await until(lambda: world.agent.returncode is None)
+                await wait_until(lambda: world.agent.returncode is None)
             await until_phase(world, "done")
             await world.connected()
             after = await pids(world)
@@ -153,7 +153,7 @@
             watch.faulty["a0"] = time.monotonic()
             await asyncio.sleep(KNOWN_S)
             assert (await world.command("drain", "start", "-s", "name=a3", *ORDER))[0] == 0
-            await until(lambda: watch.moves)
+            await wait_until(lambda: watch.moves)
             os.kill(pid, signal.SIGCONT)
             assert [line[:22] for line in watch.broken(1, KNOWN_S)] == ["floor: a3 went out, a0"]
 
@@ -168,7 +168,7 @@
 )  # fmt: skip
 def test_invalid_commands_are_rejected_in_one_line(arguments, message):
     async def main():
-        async with asyncio.timeout(WAIT_S), Managed(Shape(nodes=1, instances=2)) as world:
+        async with asyncio.timeout(TEST_TIMEOUT_S), Managed(Shape(nodes=1, instances=2)) as world:
             await world.start_agent()
             await world.start_instances()
             await world.connected()
--- a/tests/overload/test_processes.py
+++ b/tests/overload/test_processes.py
@@ -12,7 +12,7 @@
 from covetally.rig.schedule import Link, Step
 from covetally.rig.storm import Storm, play
 from covetally.rig.world import Shape, World
-from tests.loopback import WAIT_S, until
+from tests.loopback import TEST_TIMEOUT_S, wait_until
 
 SIZE = 6
 FIRST_HALF, SECOND_HALF = (0, 1, 2), (3, 4, 5)
@@ -44,7 +44,10 @@
 @pytest.mark.parametrize("fault", FAULTS)
 def test_overload_breaks_no_rule_and_wastes_little_with(tmp_path, fault):
     async def main():
-        async with asyncio.timeout(3 * WAIT_S), World(Shape(nodes=2, instances=SIZE, peers=True)) as world:
+        async with (
+            asyncio.timeout(3 * TEST_TIMEOUT_S),
+            World(Shape(nodes=2, instances=SIZE, peers=True)) as world,
+        ):
             write_operator_file(world, tmp_path, '[overload]\nmode = "on"\n')
             await world.start_instances()
             faults = Faults(world)
@@ -67,18 +70,18 @@
 
 def test_pin_sets_the_level_and_its_end_is_logged(tmp_path):
     async def main():
-        async with asyncio.timeout(2 * WAIT_S), World(Shape(nodes=2, instances=3, peers=True)) as world:
+        async with asyncio.timeout(2 * TEST_TIMEOUT_S), World(Shape(nodes=2, instances=3, peers=True)) as world:
             path = write_operator_file(world, tmp_path, '[overload]\nmode = "on"\n')
             await world.start_instances()
             first = world.instances["a0"]
             path.write_text('[overload]\nmode = "on"\npin = "pin:no-retries:1.5"\n')
             first.process.send_signal(signal.SIGHUP)
-            await until(lambda: "an operator's hand on it: pin:no-retries:1.5" in first.log)
-            await until(lambda: "overload line: no retries" in first.log)
-            await until(lambda: "overload line: open" in first.log.partition("overload line: no retries")[2])
+            await wait_until(lambda: "an operator's hand on it: pin:no-retries:1.5" in first.log)
+            await wait_until(lambda: "overload line: no retries" in first.log)
+            await wait_until(lambda: "overload line: open" in first.log.partition("overload line: no retries")[2])
             path.write_text('[overload]\nmode = "on"\npin = "pin:25:5"\n')
             first.process.send_signal(signal.SIGHUP)
-            await until(lambda: "is not a valid level" in first.log)
+            await wait_until(lambda: "is not a valid level" in first.log)
             assert "the old configuration stays" in first.log and first.running
 
     asyncio.run(main())
@@ -93,7 +96,7 @@
     """The platform of this test cluster allows no peers."""
 
     async def main():
-        async with asyncio.timeout(WAIT_S), World(Shape(nodes=1, instances=1)) as world:
+        async with asyncio.timeout(TEST_TIMEOUT_S), World(Shape(nodes=1, instances=1)) as world:
             write_operator_file(world, tmp_path, text)
             with pytest.raises(RuntimeError, match="ended") as error:
                 await world.start_instance("a0")
--- a/tests/overload/test_threshold.py
+++ b/tests/overload/test_threshold.py
@@ -14,7 +14,7 @@
 from covetally.overload.shares import TenantShares
 from covetally.overload.messages import ThresholdMessage, decode, encode
 from covetally.rig.site import settings
-from covetally.words import BadWord
+from covetally.gossip import MalformedMessageError
 
 CONFIG = Settings.parse(settings(0, 10, 0.25, 8000))
 EVALUATION_NS = SECOND // 4
@@ -103,11 +103,11 @@
 
 
 @given(st.binary(max_size=60))
-def test_any_body_decodes_or_raises_bad_word(body):
+def test_any_body_decodes_or_raises_malformed_message_error(body):
     try:
         message = decode(body)
         assert 0 <= message.level <= levels.MAX_LEVEL
-    except BadWord:
+    except MalformedMessageError:
         pass
 
 
--- a/tests/release/test_processes.py
+++ b/tests/release/test_processes.py
@@ -11,7 +11,7 @@
 from covetally.rig.managed import Managed
 from covetally.rig.site import LOAD_CLASSES, TENANTS
 from covetally.rig.world import Shape
-from tests.loopback import WAIT_S
+from tests.loopback import TEST_TIMEOUT_S
 
 PLAN = {"canary": 1, "shares": [1.0], "soak_s": 4.0, "instance_s": 5.0, "min_answers": 20, "max_worse": 0.05}
 
@@ -36,7 +36,7 @@
 )  # fmt: skip
 def test_health_gate_distinguishes_an_overload_from_a_bad_change(share, values, reason):
     async def main():
-        async with asyncio.timeout(2 * WAIT_S), Managed(Shape(nodes=4, instances=4)) as world:
+        async with asyncio.timeout(2 * TEST_TIMEOUT_S), Managed(Shape(nodes=4, instances=4)) as world:
             await world.start_agent()
             await world.start_instances()
             await world.connected()
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -9,12 +9,12 @@
 import httptools
 import pytest
 
-from covetally.interface import Directory, Entry, How, Response
+from covetally.interface import ServerListUpdate, ServerEntry, AttemptStatus, AttemptEnded
 from covetally.net import upstream
-from covetally.net.message import End, Reader, ResponseHead
-from covetally.policy.pick import preferred
-from tests.loopback import answer, fine, place, read_message, request, traces, until
-from tests.support import MS, Paper, settings
+from covetally.net.http_message import End, MessageParser, ResponseHead
+from covetally.policy.pick import is_better
+from tests.loopback import response, respond_ok, sidecar_harness, read_message, request, trace_ids, wait_until
+from tests.support import MS, BalancerHarness, settings
 
 SPOILT = {
     "noise": b"\x8e\xfb\x00\xff\r\n\r\n\r\n",
@@ -46,127 +46,127 @@
         await reader.read()
 
     async def main():
-        async with place(spoil) as here:
-            here.balancer.book.tokens = 0.0  # no further attempt
+        async with sidecar_harness(spoil) as here:
+            here.balancer.state.retry_tokens = 0.0  # no further attempt
             assert await here.status(request(cls="pay")) == 502
-            server = here.balancer.book.servers["s0"]
-            assert (server.k, server.inflight) == (1, 0)
-            here.servers["s0"].script = fine
-            assert (await here.ask(request("next"))).endswith(b"for next")
+            server = here.balancer.state.servers["s0"]
+            assert (server.steps, server.inflight) == (1, 0)
+            here.servers["s0"].script = respond_ok
+            assert (await here.exchange(request("next"))).endswith(b"for next")
             assert here.upstream._open == 1, "the spoilt connection is gone"
 
     asyncio.run(main())
 
 
 def test_a_streak_of_spoilt_answers_is_the_server_s_own():
-    paper = Paper(servers=1)
-    server = paper.server("s0")
-    paper.balancer.book.heard = 1e6
+    harness = BalancerHarness(servers=1)
+    server = harness.server("s0")
+    harness.balancer.state.recent_requests = 1e6
     for spoilt in range(3):
-        assert server.k == 1, f"convicted after {spoilt}"
-        paper.answer(paper.accept(cls=1), 0, how=308, lag=20_000_000)
-    assert server.k == 0
+        assert server.steps == 1, f"convicted after {spoilt}"
+        harness.answer(harness.accept(cls=1), 0, status=308, latency=20_000_000)
+    assert server.steps == 0
 
 
 def test_servers_at_k_zero_come_back_where_aims_are_shorter_than_the_connect_timeout():
     """No call had the time to spare that a trial asked for, so none was ever sent and all stayed out."""
     limits = {"maxAttempts": 4, "connectTimeoutNs": 400 * MS}
     for dead in ({"s0"}, {"s0", "s1"}):
-        paper = Paper(settings(limits=limits), servers=2)
+        harness = BalancerHarness(settings(limits=limits), servers=2)
         for name in dead:
-            paper.server(name).k = 0
-        paper.balancer.book.live = 2 - len(dead)
+            harness.server(name).steps = 0
+        harness.balancer.state.live_count = 2 - len(dead)
         for _ in range(300):
-            tid = paper.accept()
-            if paper.history[tid] and (tid, 0) in paper.out:
-                paper.answer(tid, 0, lag=20 * MS)
-            paper.advance(10 * MS)
-        assert all(paper.server(name).k for name in dead)
+            tid = harness.accept()
+            if harness.history[tid] and (tid, 0) in harness.outstanding:
+                harness.answer(tid, 0, latency=20 * MS)
+            harness.advance(10 * MS)
+        assert all(harness.server(name).steps for name in dead)
 
 
 @pytest.mark.parametrize("how", [301, 305])
 def test_with_many_calls_a_lone_failure_is_no_verdict_and_some_in_a_row_are(how):
-    paper = Paper(servers=1)
-    server = paper.server("s0")
-    paper.balancer.book.heard = 1e6
-    paper.answer(paper.accept(cls=1), 0, how=how)
-    assert server.k == 1
-    paper.answer(paper.accept(cls=1), 0, how=how)
-    assert server.k == 0
+    harness = BalancerHarness(servers=1)
+    server = harness.server("s0")
+    harness.balancer.state.recent_requests = 1e6
+    harness.answer(harness.accept(cls=1), 0, status=how)
+    assert server.steps == 1
+    harness.answer(harness.accept(cls=1), 0, status=how)
+    assert server.steps == 0
 
 
 @pytest.mark.parametrize("failures, cold", [(1, False), (3, True)])
 def test_with_many_calls_a_lone_failed_connection_is_no_restart(failures, cold):
     """Servers whose connections fail now and then were taken for cold, and got next to nothing."""
-    paper = Paper(servers=1)
-    server = paper.server("s0")
-    paper.balancer.book.heard = 1e6
+    harness = BalancerHarness(servers=1)
+    server = harness.server("s0")
+    harness.balancer.state.recent_requests = 1e6
     for how in [304] * failures + [100]:
-        server.k, paper.balancer.book.live = 1, 1
-        paper.balancer.book.refresh(server)
-        paper.balancer.book.cut.clear()  # else its zone gets only trials
-        paper.balancer.book.tokens = 0.0  # no further attempt
-        paper.answer(paper.accept(cls=1), 0, how=how, lag=20 * MS)
-    assert (server.started == paper.now) is cold
+        server.steps, harness.balancer.state.live_count = 1, 1
+        harness.balancer.state.update_available(server)
+        harness.balancer.state.zone_failures.clear()  # else its zone gets only trials
+        harness.balancer.state.retry_tokens = 0.0  # no further attempt
+        harness.answer(harness.accept(cls=1), 0, status=how, latency=20 * MS)
+    assert (server.started == harness.now) is cold
 
 
 @pytest.mark.parametrize("lost, taught", [(1, False), (3, True)])
 def test_with_many_calls_a_lone_time_out_tells_of_no_queue(lost, taught):
-    paper = Paper(servers=1)
-    paper.balancer.book.heard = 1e6
+    harness = BalancerHarness(servers=1)
+    harness.balancer.state.recent_requests = 1e6
     for _ in range(lost):
-        tid = paper.accept(cls=1)
-        if paper.history[tid]:
-            paper.answer(tid, 0, how=303, lag=300 * MS)
-    assert (paper.server("s0").wait > 0) is taught
+        tid = harness.accept(cls=1)
+        if harness.history[tid]:
+            harness.answer(tid, 0, status=303, latency=300 * MS)
+    assert (harness.server("s0").wait > 0) is taught
 
 
 def test_with_many_calls_a_server_expected_in_time_goes_before_a_less_loaded_one_that_is_not():
-    paper = Paper(servers=2)
-    slow, quick = paper.server("s1"), paper.server("s0")
+    harness = BalancerHarness(servers=2)
+    slow, quick = harness.server("s1"), harness.server("s0")
     for many in (False, True):
-        paper.balancer.book.many = many
-        assert preferred(paper.balancer.book, quick, 20.0 * MS, slow, 400.0 * MS, 300 * MS)
+        harness.balancer.state.high_traffic = many
+        assert is_better(harness.balancer.state, quick, 20.0 * MS, slow, 400.0 * MS, 300 * MS)
         quick.inflight = 2
-        assert preferred(paper.balancer.book, quick, 20.0 * MS, slow, 400.0 * MS, 300 * MS) is many
+        assert is_better(harness.balancer.state, quick, 20.0 * MS, slow, 400.0 * MS, 300 * MS) is many
         quick.inflight = 0
 
 
 def test_with_few_calls_the_first_failure_is_a_verdict():
-    paper = Paper(servers=1)
-    paper.answer(paper.accept(cls=1), 0, how=305)
-    assert paper.server("s0").k == 0
+    harness = BalancerHarness(servers=1)
+    harness.answer(harness.accept(cls=1), 0, status=305)
+    assert harness.server("s0").steps == 0
 
 
 def test_failures_that_all_servers_show_do_not_shrink_budgets():
-    paper = Paper(servers=3)
-    paper.balancer.book.heard = 1e6
-    for server in paper.balancer.book.servers.values():
-        server.k = 6
+    harness = BalancerHarness(servers=3)
+    harness.balancer.state.recent_requests = 1e6
+    for server in harness.balancer.state.servers.values():
+        server.steps = 6
     for turn in range(400):
-        tid = paper.accept(cls=1)
-        paper.answer(tid, 0, how=305 if turn % 9 in (3, 5) else 100, lag=20 * MS)
-    assert min(s.k for s in paper.balancer.book.servers.values()) >= 3
+        tid = harness.accept(cls=1)
+        harness.answer(tid, 0, status=305 if turn % 9 in (3, 5) else 100, latency=20 * MS)
+    assert min(s.steps for s in harness.balancer.state.servers.values()) >= 3
 
 
 def test_the_first_budget_is_a_sidecar_s_part_of_what_a_server_can_do():
     for replicas, budget in ((1, 4), (2, 2), (100, 1)):
-        server = Paper(settings(replicasOfMe=replicas), servers=1).server("s0")
+        server = BalancerHarness(settings(replicasOfMe=replicas), servers=1).server("s0")
         assert server.budget == budget
 
 
-@pytest.mark.parametrize("extra", [b"noise", answer(b"stale")])
+@pytest.mark.parametrize("extra", [b"noise", response(b"stale")])
 def test_what_comes_behind_an_answer_is_nobody_s(extra):
     async def more(server, got, reader, writer):
-        await fine(server, got, reader, writer)
+        await respond_ok(server, got, reader, writer)
         writer.write(extra)
 
     async def main():
-        new = traces()
-        async with place(more) as here:
+        new = trace_ids()
+        async with sidecar_harness(more) as here:
             for _ in range(10):
                 trace = new()
-                assert (await here.ask(request(trace))).endswith(b"for " + trace.encode())
+                assert (await here.exchange(request(trace))).endswith(b"for " + trace.encode())
             assert here.servers["s0"].connections == 10, "each connection is of no further use"
 
     asyncio.run(main())
@@ -176,13 +176,13 @@
     monkeypatch.setattr(upstream, "SETTLE_S", 0.3)
 
     async def late(server, got, reader, writer):
-        await fine(server, got, reader, writer)
+        await respond_ok(server, got, reader, writer)
         await writer.drain()
         await asyncio.sleep(0.02)
-        writer.write(answer(b"stale"))
+        writer.write(response(b"stale"))
 
     async def main():
-        async with place(late) as here:
+        async with sidecar_harness(late) as here:
             reader, writer = await here.connect()
             for trace in ("a", "b", "c"):
                 writer.write(request(trace))
@@ -193,7 +193,7 @@
 
 async def break_next(server, got, reader, writer):
     """Answer, and drop the connection at the first byte of the next request."""
-    await fine(server, got, reader, writer)
+    await respond_ok(server, got, reader, writer)
     await writer.drain()
     await reader.read(1)
     writer.transport.abort()
@@ -203,11 +203,11 @@
     monkeypatch.setattr(upstream, "WARY_HOLD_BACK_S", 5.0)  # it ends with the sign
 
     async def main():
-        async with place(break_next) as here:
+        async with sidecar_harness(break_next) as here:
             assert await here.status(request("a")) == 200
             here.upstream._wary_until = asyncio.get_running_loop().time() + 60.0
             for trace in ("b", "c"):
-                assert (await here.ask(request(trace, cls="pay"))).endswith(b"for " + trace.encode())
+                assert (await here.exchange(request(trace, cls="pay"))).endswith(b"for " + trace.encode())
             assert here.servers["s0"].connections == 3, "the same attempt went on a new connection"
 
     asyncio.run(main())
@@ -217,7 +217,7 @@
     """A last byte held back waited for the peer's delayed acknowledgement."""
 
     async def main():
-        async with place(fine) as here:
+        async with sidecar_harness(respond_ok) as here:
             reader, writer = await here.connect()
             writer.write(request("a"))
             await read_message(reader)
@@ -232,7 +232,7 @@
 
 def test_a_kept_connection_that_breaks_makes_wary(monkeypatch):
     async def main():
-        async with place(break_next) as here:
+        async with sidecar_harness(break_next) as here:
             assert await here.status(request("a")) == 200
             assert here.upstream.hold_back_s(0.0) == 0.0
             assert await here.status(request("b", cls="pay")) in (200, 502)
@@ -244,24 +244,24 @@
 def test_1xx_answers_ahead_are_passed_over():
     async def early(server, got, reader, writer):
         writer.write(b"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" * 3)
-        await fine(server, got, reader, writer)
+        await respond_ok(server, got, reader, writer)
 
     async def main():
-        async with place(early) as here:
-            assert (await here.ask(request("t"))).endswith(b"for t")
+        async with sidecar_harness(early) as here:
+            assert (await here.exchange(request("t"))).endswith(b"for t")
 
     asyncio.run(main())
 
 
 def test_a_request_that_servers_turn_away_as_bad_is_no_verdict_on_them():
     async def turn_away(server, got, reader, writer):
-        writer.write(answer(b"", b"400 Bad Request"))
+        writer.write(response(b"", b"400 Bad Request"))
 
     async def main():
-        async with place(turn_away, turn_away) as here:
+        async with sidecar_harness(turn_away, turn_away) as here:
             assert await here.status(request(cls="look")) == 502
-            assert sum(len(s.got) for s in here.servers.values()) == 1
-            assert all(s.k == 1 and not s.inflight for s in here.balancer.book.servers.values())
+            assert sum(len(s.requests) for s in here.servers.values()) == 1
+            assert all(s.steps == 1 and not s.inflight for s in here.balancer.state.servers.values())
 
     asyncio.run(main())
 
@@ -272,14 +272,14 @@
 
         async def wait(server, got, reader, writer):
             await release.wait()
-            await fine(server, got, reader, writer)
+            await respond_ok(server, got, reader, writer)
 
-        async with place(wait, wait, sockets=1) as here:
+        async with sidecar_harness(wait, wait, sockets=1) as here:
             reader, writer = await here.connect()
             writer.write(request("one"))
-            await until(lambda: any(s.got for s in here.servers.values()))
+            await wait_until(lambda: any(s.requests for s in here.servers.values()))
             assert await here.status(request("two")) == 503
-            assert all(s.k == 1 for s in here.balancer.book.servers.values())
+            assert all(s.steps == 1 for s in here.balancer.state.servers.values())
             release.set()
             assert (await read_message(reader)).endswith(b"for one")
 
@@ -290,7 +290,7 @@
     """Places were lost one by one while there were no descriptors, and in the end no server could be reached."""
 
     async def main():
-        async with place(fine, sockets=2) as here:
+        async with sidecar_harness(respond_ok, sockets=2) as here:
             reader, writer = await here.connect()
 
             def none(*_):
@@ -316,40 +316,40 @@
     ],
 )
 def test_an_absurd_report_stays_in_no_mean(load):
-    paper = Paper(servers=2)
-    paper.answer(paper.accept(), 0, lag=20_000_000, **load)
+    harness = BalancerHarness(servers=2)
+    harness.answer(harness.accept(), 0, latency=20_000_000, **load)
     for _ in range(5):
-        paper.answer(paper.accept(), 0, lag=20_000_000)
-    assert max(paper.balancer.book.waits) < 1e9
-    assert all(s.wait < 1e9 for s in paper.balancer.book.servers.values())
+        harness.answer(harness.accept(), 0, latency=20_000_000)
+    assert max(harness.balancer.state.mean_waits) < 1e9
+    assert all(s.wait < 1e9 for s in harness.balancer.state.servers.values())
 
 
 def test_servers_that_are_gone_leave_nothing_behind():
     async def main():
-        new = traces()
-        async with place(fine) as here:
+        new = trace_ids()
+        async with sidecar_harness(respond_ok) as here:
             server = here.servers["s0"]
             for turn in range(30):
-                here.tell({f"n{turn}": server})  # a new id at the address of one that has gone
+                here.update_servers({f"n{turn}": server})  # a new id at the address of one that has gone
                 assert await here.status(request(new())) == 200
-            assert set(here.balancer.book.servers) == {"n29"}
+            assert set(here.balancer.state.servers) == {"n29"}
             assert set(here.upstream._servers) == {"n29"}
             assert here.upstream._open == 1
-            assert not here.balancer.book.attempts
-            assert not here.balancer.book.calls
+            assert not here.balancer.state.attempts
+            assert not here.balancer.state.calls
             assert not here.sidecar._calls
 
     asyncio.run(main())
 
 
 def test_a_server_that_is_gone_is_kept_until_its_last_outcome():
-    paper = Paper(servers=2)
-    tid = paper.accept()
-    name = paper.sends(tid)[0]
-    paper.feed(Directory("INCREMENTAL", (Entry(name, lifecycle="removed"),)))
-    assert name in paper.balancer.book.servers
-    paper.feed(Response(tid, How.CANCELLED, 1, name, 0, True, {}))
-    assert name not in paper.balancer.book.servers
+    harness = BalancerHarness(servers=2)
+    tid = harness.accept()
+    name = harness.sends(tid)[0]
+    harness.feed(ServerListUpdate("INCREMENTAL", (ServerEntry(name, lifecycle="removed"),)))
+    assert name in harness.balancer.state.servers
+    harness.feed(AttemptEnded(tid, AttemptStatus.CANCELLED, 1, name, 0, True, {}))
+    assert name not in harness.balancer.state.servers
 
 
 def test_a_connection_that_lacks_the_end_of_a_request_carries_no_other(monkeypatch):
@@ -357,27 +357,27 @@
     monkeypatch.setattr(upstream, "WARY_HOLD_BACK_S", 5.0)  # it ends with the sign
 
     async def turn_away_early(server, got, reader, writer):
-        await fine(server, got, reader, writer)
+        await respond_ok(server, got, reader, writer)
         await writer.drain()
         await reader.read(1)
-        writer.write(answer(b"", b"503 Full", b"X-Never-Ran: 1"))
+        writer.write(response(b"", b"503 Full", b"X-Never-Ran: 1"))
 
     async def main():
-        async with place(turn_away_early) as here:
+        async with sidecar_harness(turn_away_early) as here:
             assert await here.status(request("a")) == 200
             here.upstream._wary_until = asyncio.get_running_loop().time() + 60.0
-            assert (await here.ask(request("b", cls="pay"))).endswith(b"for b")
+            assert (await here.exchange(request("b", cls="pay"))).endswith(b"for b")
             server = here.servers["s0"]
-            assert (server.connections, len(server.got)) == (2, 2)
+            assert (server.connections, len(server.requests)) == (2, 2)
             assert here.upstream._open == 1, "the first one is closed"
 
     asyncio.run(main())
 
 
 def test_answers_read_in_one_piece_or_in_many_are_the_same():
-    whole = b"HTTP/1.1 103 Early\r\n\r\n" + answer(b"abcdef", b"200 OK", b"X-A:", b"X-B:  b ")
+    whole = b"HTTP/1.1 103 Early\r\n\r\n" + response(b"abcdef", b"200 OK", b"X-A:", b"X-B:  b ")
     for size in (1, 7, len(whole)):
-        reader = Reader(httptools.HttpResponseParser)
+        reader = MessageParser(httptools.HttpResponseParser)
         for at in range(0, len(whole), size):
             reader.feed(whole[at : at + size])
         early, head, *parts, end = reader.parts
@@ -393,15 +393,17 @@
     turns and refused what most of them would have served. Past half of them the cause is shared."""
 
     async def main():
-        new = traces()
-        async with place(fine, fine, fine, fine, limits={"maxAttempts": 4, "retryAfter": True}) as here:
-            book = here.balancer.book
+        new = trace_ids()
+        async with sidecar_harness(
+            respond_ok, respond_ok, respond_ok, respond_ok, limits={"maxAttempts": 4, "retryAfter": True}
+        ) as here:
+            state = here.balancer.state
             dead, well = (here.servers["s0"], here.servers["s1"]), (here.servers["s2"], here.servers["s3"])
             for server in dead:
                 server.stop()
-            while book.live > 2:
+            while state.live_count > 2:
                 assert await here.status(request(new())) == 200
-            assert {s.name for s in book.up if not s.k} == {"s0", "s1"}, "a failure is a verdict on these"
+            assert {s.name for s in state.up if not s.steps} == {"s0", "s1"}, "a failure is a verdict on these"
             for server in well:
                 server.stop()
                 here.upstream._close_idle(here.upstream._servers["s2" if server is well[0] else "s3"])
