--- a/covetally/net/client_connection.py
+++ b/covetally/net/client_connection.py
@@ -22,7 +22,7 @@
 
 import httptools
 
-from covetally.net.budget import Exhausted, Hold
+from covetally.net.budget import BudgetExhausted, BodyReservation
 from covetally.net.close_reason import CloseReason
 from covetally.net.request_validation import SIMPLE_GET, Rejected
 from covetally.net.connection_manager import ConnectionManager
@@ -39,10 +39,10 @@
     append_part,
 )
 from covetally.net.outcome import Request
-from covetally.net.seams import Upgrade
+from covetally.net.extensions import Upgrade
 from covetally.net.sidecar import refusal as refused
 from covetally.net.stream import Stream
-from covetally.net.wheel import Timer
+from covetally.net.timer_wheel import Timer
 
 log = logging.getLogger(__name__)
 
@@ -91,7 +91,7 @@
         self._manager = manager
         self._loop = asyncio.get_running_loop()
         self._phase = READING
-        self._body_hold = Hold(manager.budget)
+        self._body_hold = BodyReservation(manager.budget)
         self._tid = ""  # the sidecar's id of the request in WAITING, once it is known
         self._head: RequestHead | None = None
         self._body: bytes | bytearray = b""
@@ -140,7 +140,7 @@
             self.stream.discard_unread()  # the last response may still be in transit
         self.stream.abort(reset)
         if phase is WAITING and self._tid:
-            self._manager.sidecar.hang_up(self._tid)
+            self._manager.sidecar.client_left(self._tid)
         if self._upgrade is not None:
             self._decline_upgrade(None)
         self._manager.on_closed(self, reason)
@@ -248,7 +248,7 @@
         if not SIMPLE_GET.fullmatch(low):
             return False
         age_ns = time.monotonic_ns() - self.stream.received_at
-        refusal = self._manager.sidecar.glance(age_ns, b"\r\nx-second-try: 1\r\n" in low)
+        refusal = self._manager.sidecar.early_refusal(age_ns, b"\r\nx-second-try: 1\r\n" in low)
         if not refusal or self._manager.drain_stage.draining:
             self._admitted = True
             return False
@@ -286,7 +286,7 @@
             self._reject(error.status, str(error), error.headers)
         except Rejected as error:
             self._reject(error.status, str(error))
-        except Exhausted:
+        except BudgetExhausted:
             self._reject(503, "no memory left for the request body")
         except Broken:
             self.close(CloseReason.CLIENT_LEFT)
@@ -302,7 +302,7 @@
         upgrades = self._manager.upgrades
         if upgrades is not None and b"upgrade" in head.fields and upgrades.wants(head):
             self._upgrade = upgrade = upgrades.begin(head)
-            self._headers, self._arrival, self.trace_id = upgrade.headers, upgrade.arrival, upgrade.trace_id
+            self._headers, self._arrival, self.trace_id = upgrade.headers, upgrade.request_info, upgrade.trace_id
             return
         self._headers, self._arrival, self.trace_id = self._manager.request_validator.validate(head)
         if head.fields.get(b"expect", b"").lower() == b"100-continue":
@@ -350,13 +350,13 @@
             time.monotonic_ns() - stream.received_at
         )  # the time limit counts from the arrival of the last byte
         admitted, self._admitted = self._admitted, False
-        self._tid = manager.sidecar.take(self, arrival, age_ns, admitted, self.trace_id)
+        self._tid = manager.sidecar.accept(self, arrival, age_ns, admitted, self.trace_id)
         if self._phase is CLOSED:  # the client was found gone during `take`, before the id to cancel was known
-            manager.sidecar.hang_up(self._tid)
+            manager.sidecar.client_left(self._tid)
 
     # --- the response ---------------------------------------------------------------------------
 
-    def wanted(self) -> bool:
+    def client_connected(self) -> bool:
         """Whether the client is still connected (see `Exchange`). Asks the kernel, since the event loop may not
         yet have noticed a disconnect, and an attempt that starts after it is wasted work."""
         stream = self.stream
--- a/covetally/net/connection_manager.py
+++ b/covetally/net/connection_manager.py
@@ -8,10 +8,10 @@
 from covetally.net.close_reason import CloseReason
 from covetally.net.drain_stage import DrainStage
 from covetally.net.request_validation import RequestValidator
-from covetally.net.seams import Gate, Upgrades
+from covetally.net.extensions import ConnectionLimiter, UpgradeHandler
 from covetally.net.sidecar import Sidecar
 from covetally.net.read_scheduler import ReadScheduler
-from covetally.net.wheel import Wheel
+from covetally.net.timer_wheel import TimerWheel
 
 if TYPE_CHECKING:
     from covetally.net.client_connection import ClientConnection
@@ -21,11 +21,11 @@
     """Accepts client connections, and decides which of them is closed when there are too many."""
 
     sidecar: Sidecar
-    wheel: Wheel
+    wheel: TimerWheel
     budget: BodyBudget
     request_validator: RequestValidator
-    gate: Gate | None
-    upgrades: Upgrades | None
+    gate: ConnectionLimiter | None
+    upgrades: UpgradeHandler | None
     drain_stage: DrainStage
     read_scheduler: ReadScheduler
     shed_requests: int
--- a/covetally/overload/member.py
+++ b/covetally/overload/member.py
@@ -69,7 +69,7 @@
 
     # --- requests -------------------------------------------------------------------------------
 
-    def place(self, name: bytes | str, cls: int, tenant: int, retry: bool) -> float:
+    def assign_priority(self, name: bytes | str, cls: int, tenant: int, retry: bool) -> float:
         """Return a request's priority, and count the request."""
         priority = self._priorities.priority_of(cls, rank(name), self.shares.covered_fraction(tenant), retry)
         admitted = priority < levels.threshold_of(self.threshold.level)
@@ -78,11 +78,11 @@
             self.refused[cls, levels.level_name(self.threshold.level)] += 1
         return priority
 
-    def ended(self, served: bool) -> None:
+    def on_request_ended(self, served: bool) -> None:
         """Count a request that got its answer."""
         self.load_monitor.record_answer(served)
 
-    def outcome(self, event: AttemptEnded, cls: int) -> None:
+    def on_attempt_ended(self, event: AttemptEnded, cls: int) -> None:
         """Count an attempt that has ended."""
         aim = self._aims[cls] if 0 <= cls < len(self._aims) else self._aims[0]
         self.load_monitor.record_attempt(event, event.latency_ns > aim)
--- a/covetally/shared_decisions.py
+++ b/covetally/shared_decisions.py
@@ -54,7 +54,7 @@
         if (plan := configuration.overload) is not None:
             participants[Topic.OVERLOAD] = self._configure_overload(now, plan, configuration.config.settings)
         elif self._overload is not None:
-            self._overload = self._sidecar.watcher = None
+            self._overload = self._sidecar.observer = None
             self._pin = ""
         if (caps := configuration.caps) is not None:
             participants[Topic.CAPS] = self._configure_caps(now, caps, configuration.config.settings)
@@ -78,7 +78,7 @@
         if member is None:
             seed = secrets.randbits(64)
             member = Member(plan.me, plan.size, self._incarnation, seed, now, settings, plan.policy)
-            self._overload = self._sidecar.watcher = member
+            self._overload = self._sidecar.observer = member
         if plan.size != member.size:
             member.resize(plan.size)
         member.policy = plan.policy
@@ -92,7 +92,7 @@
 
     def _apply_event(self, event: Event) -> None:
         """Pass a participant's event to the sidecar, and log a change of the admission threshold."""
-        self._sidecar.advise(event)
+        self._sidecar.handle_event(event)
         member = self._overload
         if member is None or member.threshold.level == self._logged_level:
             return
@@ -109,7 +109,7 @@
         self._client_caps = {cap.tenant: cap.rule.wire_id for cap in plan.caps if cap.kind == CLIENT}
         node_capped = {cap.tenant for cap in plan.caps if cap.kind == NODE}
         for tenant in self._node_capped - node_capped:
-            self._sidecar.advise(QuotaUpdate(tenant, True, None))
+            self._sidecar.handle_event(QuotaUpdate(tenant, True, None))
         self._node_capped = node_capped
         if self._caps is None:
             self._connection_limiter = ConnectionLimiter(
@@ -124,7 +124,7 @@
 
     def _remove_caps(self, now: int) -> None:
         for tenant in self._node_capped:
-            self._sidecar.advise(QuotaUpdate(tenant, True, None))
+            self._sidecar.handle_event(QuotaUpdate(tenant, True, None))
         self._caps = self._connection_limiter = self._frontend.gate = None
         self._node_capped, self._client_caps = set(), {}
 
@@ -155,7 +155,7 @@
         """Stop all participants when the sidecar shuts down; units that it holds are returned to their owners."""
         if self.transport is not None:
             self.transport.stop()
-        self.transport = self._overload = self._sidecar.watcher = None
+        self.transport = self._overload = self._sidecar.observer = None
         if self._caps is not None:
             self._remove_caps(self._clock.now())
         self._pin = ""
--- a/tests/incidents/test_guards.py
+++ b/tests/incidents/test_guards.py
@@ -45,7 +45,7 @@
         async with sidecar_harness(hang) as harness:
             for reason in (CloseReason.CLIENT_LEFT, CloseReason.IDLE):
                 status = asyncio.create_task(harness.status(request(reason.value)))
-                await wait_until(lambda: harness.sidecar.open == 1)
+                await wait_until(lambda: harness.sidecar.open_requests == 1)
                 (client,) = harness.frontend._clients
                 client.close(reason)
                 assert await status == 0
