--- a/covetally/fleet/running.py
+++ b/covetally/fleet/rollout_record.py
@@ -1,4 +1,4 @@
-"""A rollout with the row that it is stored in, and a revision that is not written yet."""
+"""A rollout together with its stored row, and the draft of a revision."""
 
 from __future__ import annotations
 
@@ -12,24 +12,24 @@
 
 
 @dataclass(slots=True)
-class Running:
-    """A rollout and the row that it is stored in."""
+class RolloutRecord:
+    """A rollout and its row in the store."""
 
     rollout: Rollout
     row: RolloutRow
     selector: Selector
     queued: bool = False
-    undo_due: bool = False  # it has asked to be undone, and is before anything else is done
+    undo_requested: bool = False  # the rollout asked to be undone; that is done before any other action
 
     @property
     def active(self) -> bool:
-        """Whether it has not ended."""
+        """Whether the rollout has not ended."""
         return not self.rollout.ended
 
-    def table(self, now: float, whole: bool = False) -> dict[str, Any]:
-        """For the API."""
+    def as_dict(self, now: float, whole: bool = False) -> dict[str, Any]:
+        """The rollout for the API; with `whole`, also the state of every member."""
         r, row = self.rollout, self.row
-        phase = Phase.UNDOING if self.undo_due else r.phase
+        phase = Phase.UNDOING if self.undo_requested else r.phase
         table = {
             "number": r.number, "kind": r.kind, "revision": row.revision, "undo_revision": row.undo_revision,
             "selector": row.selector, "author": row.author, "reason": row.reason, "at": row.at,
@@ -47,9 +47,9 @@
 
 @dataclass(slots=True)
 class Draft:
-    """A revision that is not written yet, and whom it means."""
+    """A revision that is not written yet, with its changes and the instances that its selector matches."""
 
     revision: Revision
-    meant: Selector
+    selector: Selector
     changes: list[dict[str, Any]]
     affected: list[Instance]
