--- a/benchmarks/tier.py
+++ b/benchmarks/tier.py
@@ -13,23 +13,23 @@
 import click
 
 from benchmarks.report import progress, show
-from covetally.lab.tier import Tier
-from covetally.tier.members import SECOND, State
-from covetally.tier.wire import HEAD
+from covetally.lab.tier import MembershipSimulation
+from covetally.tier.swim import SECOND, State
+from covetally.tier.wire import HEADER
 
 
 def play(size: int, seed: int, lost: float) -> dict[str, float]:
     """One member dies after the tier has met."""
-    tier = Tier(size, seed, lost)
+    tier = MembershipSimulation(size, seed, lost)
     tier.run(3 * size + 10)
     began, sent, octets, cpu = tier.now, sum(tier.sent.values()), tier.bytes, time.process_time()
     tier.kill(0)
-    found = tier.run(180, lambda: tier.believing(0, State.GONE) >= 0.99 * (size - 1))
+    found = tier.run(180, lambda: tier.count_views(0, State.GONE) >= 0.99 * (size - 1))
     tier.run(60)
     passed = (tier.now - began) / SECOND
     return {
         "gone_s": found,
-        "wrongly_gone": tier.wrongly_gone(),
+        "wrongly_gone": tier.count_false_removals(),
         "datagrams_per_s": (sum(tier.sent.values()) - sent) / passed / size,
         "bytes_per_s": (tier.bytes - octets) / passed / size,
         "cpu_us_per_s": (time.process_time() - cpu) / passed / size * 1e6,
@@ -48,7 +48,7 @@
         for share in map(float, lost.split(",")):
             plays = [play(size, seed, share) for seed in range(1, seeds + 1)]
             row = {key: round(max(p[key] for p in plays), 1) for key in plays[0]}
-            rows[f"{size} members, {share:.0%} lost"] = row | {"heartbeats_bytes_per_s": HEAD.size * (size - 1)}
+            rows[f"{size} members, {share:.0%} lost"] = row | {"heartbeats_bytes_per_s": HEADER.size * (size - 1)}
             progress(f"{size} members, {share:.0%} lost: {row}")
     show(f"who is there, the worst of {seeds} seeds", rows, as_json)
 
--- a/covetally/drainplan/run.py
+++ b/covetally/drainplan/run.py
@@ -118,7 +118,7 @@
                 fleet, [u for u in self.left if fleet.status_of(u).state is UnitState.IN_SERVICE], now
             ).waves[0]
         except (FloorError, PodError) as error:
-            self.phase, self.reason = Phase.WAITING, error.what
+            self.phase, self.reason = Phase.WAITING, error.message
             return []
         except IndexError:
             self.phase, self.reason = Phase.WAITING, f"not in service: {', '.join(self.left[:5])}"
--- a/covetally/fleet/drains.py
+++ b/covetally/fleet/drains.py
@@ -250,7 +250,7 @@
                 self._issue_permits(now, run, account)
             self._save_changes()
         except CannotKeepError as error:  # no sidecar is notified of unsaved state; the next tick saves it
-            log.warning("%s", error.line())
+            log.warning("%s", error.as_line())
             return
         self._notify_holders()
         if time.monotonic() - self._overload_polled_at >= OVERLOAD_POLL_S:
@@ -270,7 +270,7 @@
             try:
                 self.permits.issue(now, account, unit, run.who, f"order {run.number}: {self.request.what}")
             except PermitError as error:
-                run.reason = error.what
+                run.reason = error.message
                 break
             run.permit_issued(unit)
             self._boots[unit] = self._operations.instances[unit].boot
@@ -328,7 +328,7 @@
         try:
             denied = await self._operations.step(unit, self.request.what, self.permits.epoch)
         except CannotKeepError as error:
-            denied = error.line()
+            denied = error.as_line()
         if denied and self.run is not None:
             self._notified.discard(number)
             self.permits.revoke(self._clock.now(), self.account, unit, denied)
@@ -367,10 +367,10 @@
             if name not in account.units:
                 continue
             if not instance.connected:
-                account.lose_contact(now, name, instance.left or "no link")
+                account.lose_contact(now, name, instance.left or "not connected")
                 continue
             if self._is_unresponsive(instance):
-                account.lose_contact(now, name, "does not answer")
+                account.lose_contact(now, name, "unresponsive")
                 continue
             permit = self.permits.for_unit(name)
             going = account.status_of(name).state is UnitState.DRAINING
--- a/covetally/fleet/orders.py
+++ b/covetally/fleet/orders.py
@@ -30,8 +30,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Command:
-    """An operator's command to an instance. `action` is one of `control.orders.WORDS`, which change the desired
-    state, or a one-off action; `within_s` limits how many seconds a drain may take."""
+    """An operator's command to an instance. `action` is one of `control.orders.STATE_ORDERS`, which change the
+    desired state, or a one-off action; `within_s` limits how many seconds a drain may take."""
 
     action: str
     who: str = "agent"
@@ -50,7 +50,7 @@
 
     def as_dict(self) -> dict[str, Any]:
         """The order as a dictionary, for the store and the API."""
-        return self.state.table() | {"who": self.who, "at": self.at, "why": self.why}
+        return self.state.as_dict() | {"who": self.who, "at": self.at, "why": self.why}
 
 
 class DesiredOrders:
@@ -60,7 +60,7 @@
         self._store = store
         rows = json.loads(store.get(STORE_KEY) or "{}")
         self._ordered = {
-            name: Ordered(orders.from_table(row), str(row["who"]), float(row["at"]), str(row["why"]))
+            name: Ordered(orders.from_dict(row), str(row["who"]), float(row["at"]), str(row["why"]))
             for name, row in rows.items()
         }
         self._highest = max((ordered.state.revision for ordered in self._ordered.values()), default=0)
@@ -78,7 +78,7 @@
     def record(self, name: str, command: Command, at: float) -> Orders:
         """Save a new order and return the resulting state. CannotKeepError, and no change, if the disk
         refuses."""
-        state = self.desired(name).ordered(command.action, self._highest + 1, command.within_s)
+        state = self.desired(name).with_order(command.action, self._highest + 1, command.within_s)
         self._write({name: Ordered(state, command.who, at, command.why)})
         return state
 
@@ -95,7 +95,7 @@
         if not isinstance(table, Mapping):
             return  # from a version that does not store orders
         try:
-            state = orders.from_table(table)
+            state = orders.from_dict(table)
         except ValueError as error:
             log.warning("%s: %s", name, error)
             return
--- a/covetally/overload/settings.py
+++ b/covetally/overload/settings.py
@@ -33,7 +33,7 @@
         try:
             parse_pin(pin, 0)
         except InvalidPin as error:
-            problems.append(Problem("overload.pin", pin, error.what, error.remedy))
+            problems.append(Problem("overload.pin", pin, error.message, error.remedy))
     if values.get("workers.count", 1) != 1:
         reason = "only one process receives gossip messages, so each worker would decide a level of its own"
         problems.append(Problem("workers.count", values["workers.count"], reason, "1, or overload.mode = 'off'"))
--- a/covetally/workers/member.py
+++ b/covetally/workers/member.py
@@ -18,7 +18,7 @@
 from typing import TYPE_CHECKING
 
 from covetally.configuration import Configuration
-from covetally.control.gauges import Gauges
+from covetally.control.status import ProcessStatus
 from covetally.control.protocol import Message
 from covetally.logs import configure_logging
 from covetally.net.config import Config, ConfigError
@@ -80,7 +80,7 @@
         self._begin_message: asyncio.Future[Message] = asyncio.get_running_loop().create_future()
         self._deferred: list[Message] = []
         self._process: Process | None = None
-        self._gauges: Gauges
+        self._gauges: ProcessStatus
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def run(self, channel: socket.socket) -> None:
@@ -93,7 +93,7 @@
         if begin["values"]:
             configuration.manage(begin["values"])
         self._process = process = Process(configuration, member)
-        self._gauges = process.gauges()
+        self._gauges = process.status_source()
         process.on_ready = self._on_ready
         if begin["drained"]:
             process.start_drained()
@@ -110,7 +110,7 @@
 
     def _send_heartbeat(self) -> None:
         assert self._process is not None
-        self._channel.send("alive", beat=self._gauges.beat())
+        self._channel.send("alive", beat=self._gauges.heartbeat())
         interval_s = (
             float(self._process.values.get("workers.hang_s", DEFAULT_HANG_TIMEOUT_S))
             / HEARTBEATS_PER_HANG_TIMEOUT
@@ -121,7 +121,7 @@
         log.error("the supervisor is gone: this worker drains and ends")
         if self._process is None:
             os._exit(1)  # it has not accepted anything yet
-        self._process.end()
+        self._process.begin_shutdown()
 
     def _on_message(self, message: Message) -> None:
         if not self._begin_message.done():
@@ -140,7 +140,7 @@
                 process.update_share()
             case "manage":
                 try:
-                    process.manage(message["values"])
+                    process.apply_managed(message["values"])
                 except ConfigError as error:  # the file has changed since the supervisor checked the values
                     log.error("%s: the old configuration stays", error)
             case "reload":
@@ -150,10 +150,10 @@
             case "resume":
                 process.resume()
             case "order":
-                process.order(message["what"])
+                process.order_roster(message["what"])
             case "end":
                 member.others_continue = not message["whole"]
-                process.end()
+                process.begin_shutdown()
             case "ask":
                 task = asyncio.create_task(self._reply(message["id"], message["what"]))
                 self._tasks.add(task)
--- a/tests/drainplan/test_plan.py
+++ b/tests/drainplan/test_plan.py
@@ -68,7 +68,7 @@
     try:
         planned = plan(fleet, fleet.units, 0.0)
     except (FloorError, PodError) as error:
-        assert error.unit in fleet.units and error.what and error.remedy
+        assert error.unit in fleet.units and error.message and error.remedy
         return
     assert sorted(itertools.chain(*(wave.units for wave in planned.waves))) == sorted(fleet.units)
     for wave in planned.waves:
@@ -139,7 +139,7 @@
     with pytest.raises(FloorError) as error:
         plan(fleet_state(units, Floors({(SIDECAR, "b"): 1.5})), ["u0", "u1"], 0.0)
     assert (error.value.unit, error.value.floor, error.value.shortfall) == ("u1", 1.5, 0.5)
-    assert "sidecars in b" in error.value.line()
+    assert "sidecars in b" in error.value.as_line()
 
 
 def test_last_node_of_a_pod_is_not_drained_and_two_of_one_pod_take_turns():
--- a/tests/drainplan/test_processes.py
+++ b/tests/drainplan/test_processes.py
@@ -164,7 +164,7 @@
     "arguments, message",
     [(("plan", "--floor", "each=100%"), "below its floor"), (("plan", "--floor", "z=1"), "no zone 'z'"),
      (("start", "--floor", "each=half"), "ZONE=N"), (("halt",), "no order is under way"),
-     (("start", "-s", "name=nobody"), "no instance is meant")],
+     (("start", "-s", "name=nobody"), "no instance matches")],
 )  # fmt: skip
 def test_invalid_commands_are_rejected_in_one_line(arguments, message):
     async def main():
--- a/tests/overload/test_fleet.py
+++ b/tests/overload/test_fleet.py
@@ -5,8 +5,8 @@
 import pytest
 
 from covetally.interface import Settings
-from covetally.lab.fleet import SECOND, Books, ClassLoad, Fleet, NodeShape, Plan
-from covetally.lab.line import Lined, changed
+from covetally.lab.fleet import SECOND, ClassLoad, FleetConfig, FleetCounts, FleetSimulation, NodeShape
+from covetally.lab.overload import OverloadSimulation, altered_message
 from covetally.overload.threshold import Threshold
 from covetally.rig import site
 from covetally.rig.schedule import Link, Schedule, Step
@@ -23,22 +23,22 @@
     settings = Settings.parse(site.settings(0, SIZE, 0.25, 8000))
     steps = ((0.0, 200.0), (5.0, high), (13.0, 200.0))
     nodes = tuple(NodeShape(4, zone=i % 3) for i in range(NODES))
-    fleet = Fleet(Plan(18.0, steps, classes, nodes, SIZE, seed), settings)
-    members = Lined(fleet, lies=lies) if shedding else None
+    fleet = FleetSimulation(FleetConfig(18.0, steps, classes, nodes, SIZE, seed), settings)
+    members = OverloadSimulation(fleet, forgers=lies) if shedding else None
     if members is not None:
         members.play(schedule)
     if slow_node:
-        fleet.at(7.0, lambda: setattr(fleet.nodes[0], "slow", 3.0))
-        fleet.at(10.0, lambda: setattr(fleet.nodes[0], "slow", 1.0))
+        fleet.call_at(7.0, lambda: setattr(fleet.nodes[0], "slowdown", 3.0))
+        fleet.call_at(10.0, lambda: setattr(fleet.nodes[0], "slowdown", 1.0))
     return fleet.run(), members
 
 
-def in_time(statistics: Books, begin: float = 8, end: float = 13) -> float:
+def in_time(statistics: FleetCounts, begin: float = 8, end: float = 13) -> float:
     """Return the rate of answers in time, first tries and retries, relative to the nodes' capacity."""
     return statistics.total("in_time", begin, end) / (end - begin) / CAPACITY_PER_S
 
 
-def recovered(statistics: Books) -> float:
+def recovered(statistics: FleetCounts) -> float:
     """Return the share of the requests of the last two seconds that got an answer in time."""
     return statistics.total("due_in_time", 16, 18) / statistics.total("asked", 16, 18)
 
@@ -86,7 +86,7 @@
 @pytest.mark.parametrize("ratio", [0.0, 25.0])
 def test_one_lying_member_neither_lowers_nor_raises_the_level(ratio):
     def lie(now, word):
-        return changed(word, ratio=ratio, weight=60_000, rung=0 if ratio == 0.0 else 24)
+        return altered_message(word, ratio=ratio, weight=60_000, rung=0 if ratio == 0.0 else 24)
 
     statistics, members = simulate(lies={3: lie})
     assert in_time(statistics) > 0.85
@@ -99,7 +99,7 @@
     """All of its answers are late because of the link of its zone, not because of load."""
 
     def lie(now, word):
-        return changed(word, ratio=9.0, weight=20)
+        return altered_message(word, ratio=9.0, weight=20)
 
     statistics, members = simulate(lies={5: lie}, high=200.0)
     assert {level for _, _, level in members.samples} == {0}
@@ -113,7 +113,7 @@
 
 def test_message_rate_does_not_grow_with_the_fleet():
     _, members = simulate()
-    assert members.said / 18.0 <= 16 * 4 + 1
+    assert members.sent / 18.0 <= 16 * 4 + 1
 
 
 @pytest.mark.parametrize("fault", ["never rises", "no median", "no settling"])
@@ -125,7 +125,7 @@
     elif fault == "no median":
         highest = lambda votes: (max(v.sample.ratio for v in votes), 99.0)  # noqa: E731
         monkeypatch.setattr("covetally.overload.threshold.load_of", highest)
-        _, members = simulate(lies={5: lambda now, word: changed(word, ratio=9.0, weight=20)}, high=200.0)
+        _, members = simulate(lies={5: lambda now, word: altered_message(word, ratio=9.0, weight=20)}, high=200.0)
         assert {level for _, _, level in members.samples} != {0}
     else:
         monkeypatch.setattr("covetally.overload.threshold.SETTLE_NS", -(10 * SECOND))
--- a/tests/overload/test_threshold.py
+++ b/tests/overload/test_threshold.py
@@ -115,7 +115,7 @@
 def test_invalid_pin_is_rejected_with_an_example(text):
     with pytest.raises(pins.InvalidPin) as error:
         pins.parse_pin(text, 0)
-    assert "pin:own-shares:600" in error.value.line()
+    assert "pin:own-shares:600" in error.value.as_line()
 
 
 @pytest.mark.parametrize(
