--- a/covetally/fleet/rollout.py
+++ b/covetally/fleet/rollout.py
@@ -40,7 +40,7 @@
 from dataclasses import asdict, dataclass, field
 from typing import Any
 
-from covetally.release import Answers, Verdict, clustering, judge
+from covetally.release import AnswerCounts, HealthStatus, compare_health, variance_inflation
 
 
 class MemberState(enum.StrEnum):
@@ -162,11 +162,11 @@
 Action = Send | Restart | UndoRequested
 
 
-def _answers_since(now: tuple[int, int], base: tuple[int, int]) -> Answers:
+def _answers_since(now: tuple[int, int], base: tuple[int, int]) -> AnswerCounts:
     """The answers between two counter values. If a counter went down, the process restarted and counts from 0."""
     if now[0] < base[0] or now[1] < base[1]:
-        return Answers(*now)
-    return Answers(now[0] - base[0], now[1] - base[1])
+        return AnswerCounts(*now)
+    return AnswerCounts(now[0] - base[0], now[1] - base[1])
 
 
 class Rollout:
@@ -192,7 +192,7 @@
         self._soak_baseline: dict[
             str, tuple[int, int]
         ] = {}  # counters of members of later waves when the soak began
-        self._soak_slices: dict[str, deque[Answers]] = {}  # their answers since then, per heartbeat
+        self._soak_slices: dict[str, deque[AnswerCounts]] = {}  # their answers since then, per heartbeat
         self._actions: list[Action] = []
         # Indexes that `_set` maintains, so that the cost of an event does not grow with the number of members.
         self._counts: Counter[MemberState] = Counter()
@@ -596,19 +596,19 @@
     def _check_health(self, now: float) -> None:
         """The health check: compare the failure ratio of the members that took the target with that of members of
         later waves. If all are worse than before, soak for longer: see release.health."""
-        changed = before = Answers()
-        others: list[Answers] = []
-        slices: list[tuple[Answers, ...]] = []
+        changed = before = AnswerCounts()
+        others: list[AnswerCounts] = []
+        slices: list[tuple[AnswerCounts, ...]] = []
         for name, member in self.members.items():
             if member.state is MemberState.TOOK:
                 changed += _answers_since(member.now, member.base)
-                before += Answers(*member.prior)
+                before += AnswerCounts(*member.prior)
             elif member.wave > self.wave and name in self._soak_baseline:
                 others.append(_answers_since(member.now, self._soak_baseline[name]))
                 slices.append(tuple(self._soak_slices.get(name, ())))
-        inflation = clustering(slices)
-        health = judge(changed, others, before, self.plan.max_worse, self.plan.min_answers, inflation)
-        if health.verdict is Verdict.EVERYWHERE:
+        inflation = variance_inflation(slices)
+        health = compare_health(changed, others, before, self.plan.max_worse, self.plan.min_answers, inflation)
+        if health.status is HealthStatus.WORSE_EVERYWHERE:
             self.reason, self.soak_until = health.text, self.spent(now) + self.plan.soak_s
             for member in self.members.values():
                 if member.state is MemberState.TOOK:
@@ -618,7 +618,7 @@
             return
         self.phase, self.reason = Phase.RUNNING, ""
         self.wave += 1
-        if health.verdict is Verdict.WORSE:
+        if health.status is HealthStatus.WORSE:
             self._handle_trouble(now, health.text)
 
     def _begin_soak(self) -> None:
--- a/covetally/lab/overload.py
+++ b/covetally/lab/overload.py
@@ -14,7 +14,7 @@
 
 from covetally.lab.fleet import MS, SECOND, FleetSimulation
 from covetally.overload import Member, Policy
-from covetally.overload.words import LineWord, decode, encode
+from covetally.overload.messages import ThresholdMessage, decode, encode
 from covetally.rig.schedule import WELL, Link, Schedule, Step
 from covetally.gossip import Message
 
@@ -83,7 +83,7 @@
             self.members[number].receive(self.fleet.now, message)
 
     def _sample(self) -> None:
-        levels = [m.line.rung for i, m in enumerate(self.members) if i not in self.stopped]
+        levels = [m.threshold.level for i, m in enumerate(self.members) if i not in self.stopped]
         common = max(set(levels), key=levels.count)
         near = sum(abs(level - common) <= 1 for level in levels) / len(levels)
         self.samples.append((self.fleet.now / SECOND, near, common))
@@ -116,6 +116,8 @@
 
 def altered_message(message: Message, **values: Any) -> Message:
     """Return a message with some of its values replaced, for use by a forger."""
-    original: LineWord = decode(message.body)
-    level = values.pop("rung", original.rung)
-    return message._replace(body=encode(original._replace(seen=replace(original.seen, **values), rung=level)))
+    original: ThresholdMessage = decode(message.body)
+    level = values.pop("rung", original.level)
+    return message._replace(
+        body=encode(original._replace(sample=replace(original.sample, **values), level=level))
+    )
--- a/covetally/shared_decisions.py
+++ b/covetally/shared_decisions.py
@@ -20,10 +20,10 @@
 from covetally.net.clock import Clock
 from covetally.net.frontend import Frontend
 from covetally.net.sidecar import Sidecar
-from covetally.overload.ladder import name as rung_name
+from covetally.overload.levels import level_name
 from covetally.overload.member import Member
-from covetally.overload.pins import parse
-from covetally.overload.settings import Plan as OverloadPlan
+from covetally.overload.pins import parse_pin
+from covetally.overload.settings import OverloadConfig
 from covetally.gossip import Topic
 from covetally.gossip.transport import GossipTransport, Participant, TransportCallbacks
 
@@ -44,7 +44,7 @@
         self._client_caps: dict[int, int] = {}  # by tenant: the wire id of its cap on client connections
         self._node_capped: set[int] = set()  # tenants with a cap on connections to nodes
         self._pin = ""
-        self._logged_rung = 0
+        self._logged_level = 0
         self.transport: GossipTransport | None = None
 
     def apply_configuration(self, configuration: Configuration) -> None:
@@ -73,7 +73,7 @@
 
     # --- overload control -----------------------------------------------------------------------
 
-    def _configure_overload(self, now: int, plan: OverloadPlan, settings: Settings) -> Member:
+    def _configure_overload(self, now: int, plan: OverloadConfig, settings: Settings) -> Member:
         member = self._overload
         if member is None:
             seed = secrets.randbits(64)
@@ -86,7 +86,7 @@
             # Compared with the last setting, not the pin in force: a pin that has expired stays in the settings
             # and must not start again.
             self._pin = plan.pin
-            member.pin = parse(plan.pin, now) if plan.pin else None
+            member.pin = parse_pin(plan.pin, now) if plan.pin else None
             log.info("overload line: %s", f"an operator's hand on it: {plan.pin}" if plan.pin else "pin removed")
         return member
 
@@ -94,13 +94,14 @@
         """Pass a participant's event to the sidecar, and log a change of the admission threshold."""
         self._sidecar.handle_event(event)
         member = self._overload
-        if member is None or member.line.rung == self._logged_rung:
+        if member is None or member.threshold.level == self._logged_level:
             return
         log.info(
             "overload line: %s (%s, load %.2f of the limit at which it rises, %d voters)",
-            rung_name(member.line.rung), member.line.step.value, member.line.load, member.line.voters,
+            level_name(member.threshold.level), member.threshold.transition.value, member.threshold.load,
+            member.threshold.voters,
         )  # fmt: skip
-        self._logged_rung = member.line.rung
+        self._logged_level = member.threshold.level
 
     # --- caps -----------------------------------------------------------------------------------
 
--- a/tests/fleet/test_rollout.py
+++ b/tests/fleet/test_rollout.py
@@ -211,7 +211,7 @@
 def test_failures_at_all_members_prolong_the_soak_until_they_end():
     fleet = soaked(300, 320)
     assert fleet.rollout.phase is Phase.SOAKING
-    assert "30.0% of 1000 answers, 32.0% where it is not, 0.0% before: another cause" in fleet.rollout.reason
+    assert "30.0% of 1000 answers, 32.0% without the change, 0.0% before: another cause" in fleet.rollout.reason
     fleet.heartbeat("i00", 1100, 301)
     fleet.heartbeat("i01", 8100, 3821)
     fleet.heartbeat("i02", 1100, 321)
@@ -224,7 +224,7 @@
 def test_a_bad_change_is_detected_during_failures_at_all_members():
     fleet = soaked(450, 320)
     assert fleet.rollout.phase is Phase.PAUSED
-    assert "45.0% of 1000 answers, 32.0% where it is not" in fleet.rollout.reason
+    assert "45.0% of 1000 answers, 32.0% without the change" in fleet.rollout.reason
 
 
 def test_a_member_that_restarts_during_the_soak_counts_from_its_start():
@@ -248,7 +248,7 @@
     fleet.heartbeat("i00", 2000, 600)
     fleet.heartbeat("i01", 9000, 4140)
     fleet.advance_time(6)
-    assert fleet.rollout.phase is Phase.SOAKING and "32.0% where it is not" in fleet.rollout.reason
+    assert fleet.rollout.phase is Phase.SOAKING and "32.0% without the change" in fleet.rollout.reason
 
 
 def test_the_health_check_ignores_failures_from_before_the_change():
