--- a/covetally/lab/caps.py
+++ b/covetally/lab/caps.py
@@ -27,6 +27,8 @@
 
 
 class _Member:
+    """A member with its clock, its demand and the number of its open connections."""
+
     def __init__(self, number: int, incarnation: int, drift: float, offset: int) -> None:
         self.number, self.drift, self.offset, self.incarnation = number, drift, offset, incarnation
         self.demand = 0
--- a/covetally/lab/fleet.py
+++ b/covetally/lab/fleet.py
@@ -126,6 +126,8 @@
 
 
 class _Job:
+    """An attempt at a node."""
+
     __slots__ = ("attempt", "cls", "expires", "abandoned", "tid", "work", "sidecar", "started")
 
     def __init__(
--- a/covetally/lab/tier.py
+++ b/covetally/lab/tier.py
@@ -122,8 +122,8 @@
     def _schedule_tick(self, number: int, at: int) -> None:
         self._schedule_arrival(max(at, self.now), number, number, b"")
 
-    def _send_all(self, sender: int, sends: list[Outgoing]) -> None:
-        for to, message in sends:
+    def _send_all(self, sender: int, outgoing: list[Outgoing]) -> None:
+        for to, message in outgoing:
             data = encode(message)
             self.sent[sender] += 1
             self.bytes += len(data)
@@ -131,7 +131,7 @@
                 self.send(to, data, sender)
 
     def count_views(self, member: int, state: State) -> int:
-        """Return status many other members see `member` in `state`."""
+        """Return how many other members see `member` in `state`."""
         return sum(view.state(member) is state for number, view in self.members.items() if number != member)
 
     def count_false_removals(self) -> int:
@@ -208,8 +208,8 @@
         self._on_event()
         return True
 
-    def _send_datagrams(self, sender: int, out: list[Datagram]) -> None:
-        for peer, data in out:
+    def _send_datagrams(self, sender: int, outgoing: list[Datagram]) -> None:
+        for peer, data in outgoing:
             for to in range(self.size) if peer < 0 else (peer,):
                 if to == sender:
                     continue
