--- a/covetally/configuration.py
+++ b/covetally/configuration.py
@@ -19,8 +19,8 @@
     from covetally.caps.settings import Plan as Caps
     from covetally.membership.settings import MembershipConfig
     from covetally.operator.schema import Values
-    from covetally.overload.settings import Plan as Overload
-    from covetally.tier.settings import Plan as Tier
+    from covetally.overload.settings import OverloadConfig as Overload
+    from covetally.tier.settings import TierConfig as Tier
 
 log = logging.getLogger("covetally")
 
@@ -33,10 +33,10 @@
 class SavedSettings(Protocol):
     """The agent's settings that were saved by the previous process."""
 
-    def at_start(self) -> Values:
+    def initial_values(self) -> Values:
         """Return the settings to start with."""
 
-    def unusable(self, reason: str) -> Values:
+    def reject_initial(self, reason: str) -> Values:
         """Report that the settings cannot be used, and return those to start with instead."""
 
 
@@ -78,13 +78,13 @@
 
     def restore_managed(self, saved: SavedSettings) -> None:
         """Start with the agent's saved settings. Unusable ones must not prevent the sidecar from starting."""
-        self.managed = saved.at_start()
+        self.managed = saved.initial_values()
         while self.managed:
             try:
                 self.config = self._build_config(self.platform, self.file_settings, self.managed)
                 return
             except ConfigError as error:
-                self.managed = saved.unusable(str(error))
+                self.managed = saved.reject_initial(str(error))
 
     @property
     def values(self) -> Values:
@@ -180,9 +180,9 @@
 
     def _apply_settings(self, platform: Config, values: Values) -> Config:
         """Apply operators' settings to the platform's configuration. Raises OperatorError if they are invalid."""
-        from covetally.operator import tune
+        from covetally.operator import overrides
 
-        config = self._scope.derive_config(replace(platform, **tune.changes(platform, values)))
+        config = self._scope.derive_config(replace(platform, **overrides.config_overrides(platform, values)))
         _membership(values)
         _tier(config, values)
         _overload(config, values)
@@ -231,7 +231,9 @@
         return None
     from covetally.operator import check, schema
 
-    requesting = sorted(n for n in values if n.startswith((schema.RATE, schema.IN_FLIGHT)))
+    requesting = sorted(
+        n for n in values if n.startswith((schema.TIER_RATE_PREFIX, schema.TIER_IN_FLIGHT_PREFIX))
+    )
     if values.get("tier.mode") == "on":
         requesting.append("tier.mode")
     if not requesting:
@@ -242,7 +244,7 @@
     _require_peers(config, requesting[0], values)
     from covetally.tier import settings
 
-    return settings.plan(config.settings, len(config.peers), values)
+    return settings.tier_config(config.settings, len(config.peers), values)
 
 
 def _overload(config: Config, values: Values) -> Overload | None:
@@ -252,7 +254,7 @@
     _require_peers(config, "overload.mode", values)
     from covetally.overload import settings
 
-    return settings.plan(config.settings, len(config.peers), values)
+    return settings.overload_config(config.settings, len(config.peers), values)
 
 
 def _caps(config: Config, values: Values) -> Caps | None:
--- a/covetally/fleet/drains.py
+++ b/covetally/fleet/drains.py
@@ -30,10 +30,10 @@
 from dataclasses import dataclass
 from typing import Any, Protocol
 
-from covetally.drainplan import Account, Floors, Kind, State, Unit, plan
+from covetally.drainplan import FleetState, Floors, Kind, Unit, UnitState, plan
 from covetally.drainplan.errors import PermitError, UnitsError
 from covetally.drainplan.permits import Permits, Stage, next_epoch
-from covetally.drainplan.run import Phase, Run
+from covetally.drainplan.run import DrainRun, Phase
 from covetally.fleet.registry import Instance
 from covetally.fleet.steady_clock import SteadyClock
 from covetally.fleet.store import CannotKeepError, Store
@@ -77,7 +77,7 @@
     warm_s: float = 0.0
 
 
-def fleet_state_of(instances: Iterable[Instance], request: DrainRequest) -> Account:
+def fleet_state_of(instances: Iterable[Instance], request: DrainRequest) -> FleetState:
     """The state of all known sidecars, with the floors of a request. UnitsError if a label or floor is bad."""
     units: dict[str, Unit] = {}
     for instance in instances:
@@ -106,7 +106,7 @@
         else:
             raise UnitsError(f"no zone {where!r}: there are {', '.join(sorted(zones))}")
     after = {Kind.SIDECAR: request.after_loss} if request.after_loss else {}
-    return Account(units, Floors(by_zone, fleet, after))
+    return FleetState(units, Floors(by_zone, fleet, after))
 
 
 class Drains:
@@ -117,12 +117,12 @@
     ) -> None:
         self._store, self._operations, self._write, self._clock = store, operations, write, clock
         saved = json.loads(store.get(STORE_KEY) or "{}")
-        self.run = Run.of(saved["run"]) if saved.get("run") else None
+        self.run = DrainRun.from_json(saved["run"]) if saved.get("run") else None
         self.request = _request_from_row(saved["wanted"]) if saved.get("wanted") else DrainRequest(())
         self._boots: dict[str, str] = saved.get("boots", {})
         known_epoch = int(saved.get("epoch", 0))
         self.permits = Permits(known_epoch, saved.get("permits", ""))
-        self.account = Account({}, Floors())
+        self.account = FleetState({}, Floors())
         self._listen_until = 0.0
         self._has_own_epoch = False
         self._overloaded = False
@@ -143,7 +143,7 @@
         order = plan(account, request.names, self._clock.now())
         return {
             "waves": [{"units": list(wave.units), "seconds": wave.seconds} for wave in order.waves],
-            "seconds": order.seconds, "bound_s": order.bound_s, "text": order.text(),
+            "seconds": order.seconds, "bound_s": order.bound_s, "text": order.describe(),
         }  # fmt: skip
 
     def start(self, request: DrainRequest, who: str, why: str) -> dict[str, Any]:
@@ -156,7 +156,7 @@
         self.preview(request)
         number = (self.run.number if self.run else 0) + 1
         before = self.request, self.run, self.account
-        self.request, self.run = request, Run(number, who, why, list(request.names))
+        self.request, self.run = request, DrainRun(number, who, why, list(request.names))
         self.account = fleet_state_of(self._operations.instances.values(), request)
         try:
             self._save()
@@ -178,11 +178,11 @@
         elif what == "resume":
             run.resume()
         else:
-            run.back(f"taken back by {who}" + (f": {why}" if why else ""))
+            run.cancel(f"taken back by {who}" + (f": {why}" if why else ""))
         if what != "resume":
             for permit in self.permits.open:
                 if permit.number not in self._notified:
-                    self.permits.take_back(self._clock.now(), self.account, permit.unit, f"{what} by {who}")
+                    self.permits.revoke(self._clock.now(), self.account, permit.unit, f"{what} by {who}")
         self._save()
         self._write(who, f"drain {what}", order=run.number, reason=why)
         self._schedule_tick()
@@ -194,7 +194,7 @@
         self._save()
         self._write(who, "drain write-off", instance=unit)
         self._schedule_tick()
-        return permit.table()
+        return permit.as_dict()
 
     def as_dict(self) -> dict[str, Any]:
         """The order, its permits and the units that are out of service, for the API."""
@@ -202,11 +202,12 @@
         out = [
             {"unit": name, "zone": unit.zone, "state": entry.state.value, "since": entry.since,
              "cause": entry.cause, "planned": entry.planned}
-            for name, unit in account.units.items() if (entry := account.entry(name)).state is not State.IN
+            for name, unit in account.units.items()
+            if (entry := account.status_of(name)).state is not UnitState.IN_SERVICE
         ]  # fmt: skip
         return {
-            "order": self.run.table() if self.run is not None else None, "epoch": self.permits.epoch,
-            "permits": [permit.table() for permit in self.permits.open], "out": out,
+            "order": self.run.summary() if self.run is not None else None, "epoch": self.permits.epoch,
+            "permits": [permit.as_dict() for permit in self.permits.open], "out": out,
             "capacity": {zone: round(left, 3) for (_, zone), left in account.capacity(self._clock.now()).items()},
             "floors": {zone: floor for (_, zone), floor in account.floors.zones.items()},
             "now": self._clock.now(), "listens_s": round(max(0.0, self._listen_until - time.monotonic()), 1),
@@ -229,7 +230,7 @@
 
     def observe_epoch(self, epoch: int) -> None:
         """Take note of the epoch that a sidecar reports."""
-        self.permits.hear(epoch)
+        self.permits.observe_epoch(epoch)
 
     def _schedule_tick(self) -> None:
         if self._timer is None:
@@ -243,35 +244,35 @@
         self._schedule_tick()
         now = self._clock.now()
         account = self._current(now)
-        self.permits.look(account)
+        self.permits.reconcile(account)
         try:
             if time.monotonic() >= self._listen_until:
                 self._issue_permits(now, run, account)
             self._save_changes()
         except CannotKeepError as error:  # no sidecar is notified of unsaved state; the next tick saves it
-            log.warning("%s", error.line())
+            log.warning("%s", error.as_line())
             return
         self._notify_holders()
         if time.monotonic() - self._overload_polled_at >= OVERLOAD_POLL_S:
             self._overload_polled_at = time.monotonic()
             self._spawn(self._poll_overload())
 
-    def _issue_permits(self, now: float, run: Run, account: Account) -> None:
+    def _issue_permits(self, now: float, run: DrainRun, account: FleetState) -> None:
         if not self._has_own_epoch:
-            self.permits.epoch = next_epoch((self.permits.epoch, self.permits.heard))
-            self.permits.heard = self.permits.epoch
+            self.permits.epoch = next_epoch((self.permits.epoch, self.permits.highest_epoch))
+            self.permits.highest_epoch = self.permits.epoch
             self._save()
             self._has_own_epoch = True
-        units = run.next(now, account, self.permits, self._overloaded)
+        units = run.next_wave(now, account, self.permits, self._overloaded)
         if (units or self._unresponsive) and not self._recently_probed():
             return
         for unit in units:
             try:
-                self.permits.give(now, account, unit, run.who, f"order {run.number}: {self.request.what}")
+                self.permits.issue(now, account, unit, run.who, f"order {run.number}: {self.request.what}")
             except PermitError as error:
-                run.reason = error.what
+                run.reason = error.message
                 break
-            run.gone(unit)
+            run.permit_issued(unit)
             self._boots[unit] = self._operations.instances[unit].boot
 
     def _recently_probed(self) -> bool:
@@ -310,15 +311,15 @@
             return
         for permit in self.permits.open:
             unit = permit.unit
-            if permit.number in self._notified or (permit.stage is not Stage.GIVEN and not self._is_restart):
+            if permit.number in self._notified or (permit.stage is not Stage.ISSUED and not self._is_restart):
                 continue
             instance = self._operations.instances.get(unit)
             if instance is None or not instance.connected:
                 continue
             if instance.boot != self._boots.get(unit):
-                if permit.stage is Stage.GIVEN:
+                if permit.stage is Stage.ISSUED:
                     # An earlier agent notified it and crashed before saving that: it has been out.
-                    self.permits.told(unit)
+                    self.permits.mark_notified(unit)
                 continue
             self._notified.add(permit.number)
             self._spawn(self._step(permit.number, unit))
@@ -327,14 +328,14 @@
         try:
             denied = await self._operations.step(unit, self.request.what, self.permits.epoch)
         except CannotKeepError as error:
-            denied = error.line()
+            denied = error.as_line()
         if denied and self.run is not None:
             self._notified.discard(number)
-            self.permits.take_back(self._clock.now(), self.account, unit, denied)
+            self.permits.revoke(self._clock.now(), self.account, unit, denied)
             self.run.fail(unit, denied)
             self._write("agent", "drain refused", instance=unit, reason=denied)
         else:
-            self.permits.told(unit)
+            self.permits.mark_notified(unit)
         with contextlib.suppress(CannotKeepError):  # the next tick saves it
             self._save_changes()
 
@@ -349,39 +350,39 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    def _current(self, now: float) -> Account:
+    def _current(self, now: float) -> FleetState:
         if set(self.account.units) != set(self._operations.instances):
-            entries = self.account.entries
+            entries = self.account.statuses
             self.account = fleet_state_of(self._operations.instances.values(), self.request)
-            self.account.entries = entries
+            self.account.statuses = entries
         return self._observe(self.account, now)
 
-    def _observe(self, account: Account, now: float) -> Account:
+    def _observe(self, account: FleetState, now: float) -> FleetState:
         """Update the state of each unit from its link: whether it is connected and serving, and in which
         process."""
         for permit in self.permits.open:
-            if permit.unit in account.units and account.entry(permit.unit).state is State.UNKNOWN:
-                account.going(now, permit.unit, f"{permit.why}, by {permit.who}")
+            if permit.unit in account.units and account.status_of(permit.unit).state is UnitState.UNKNOWN:
+                account.mark_draining(now, permit.unit, f"{permit.why}, by {permit.who}")
         for name, instance in self._operations.instances.items():
             if name not in account.units:
                 continue
             if not instance.connected:
-                account.lost(now, name, instance.left or "no link")
+                account.lose_contact(now, name, instance.left or "not connected")
                 continue
             if self._is_unresponsive(instance):
-                account.lost(now, name, "does not answer")
+                account.lose_contact(now, name, "unresponsive")
                 continue
-            permit = self.permits.of(name)
-            going = account.entry(name).state is State.GOING
+            permit = self.permits.for_unit(name)
+            going = account.status_of(name).state is UnitState.DRAINING
             if permit is not None and instance.boot != self._boots.get(name, instance.boot):
                 if going:
-                    account.seen(now, name, False)  # it was out between two ticks
+                    account.observe(now, name, False)  # it was out between two ticks
             elif permit is not None and (self._is_restart or (going and instance.state == "serving")):
                 # Still draining: the same process runs, so it has not been out, even if contact was lost.
                 if not going:
-                    account.going(now, name, f"{permit.why}, by {permit.who}")
+                    account.mark_draining(now, name, f"{permit.why}, by {permit.who}")
                 continue
-            account.seen(now, name, instance.state == "serving", "")
+            account.observe(now, name, instance.state == "serving", "")
         return account
 
     @property
@@ -391,7 +392,7 @@
     def _save(self) -> None:
         boots = {permit.unit: self._boots.get(permit.unit, "") for permit in self.permits.open}
         state = {
-            "run": self.run.text() if self.run is not None else "", "permits": self.permits.text(),
+            "run": self.run.to_json() if self.run is not None else "", "permits": self.permits.to_json(),
             "epoch": self.permits.epoch, "boots": boots, "wanted": _request_row(self.request),
         }  # fmt: skip
         with self._store.transaction():
@@ -404,7 +405,7 @@
 
     def _state_to_save(self) -> tuple[Any, ...]:
         """The part of the state that changes while an order is carried out."""
-        return (self.run.text() if self.run is not None else "", self.permits.text(), self.permits.epoch)
+        return (self.run.to_json() if self.run is not None else "", self.permits.to_json(), self.permits.epoch)
 
 
 def _request_row(request: DrainRequest) -> dict[str, Any]:
--- a/covetally/fleet/rollout.py
+++ b/covetally/fleet/rollout.py
@@ -40,7 +40,7 @@
 from dataclasses import asdict, dataclass, field
 from typing import Any
 
-from covetally.release import Answers, Verdict, clustering, judge
+from covetally.release import AnswerCounts, HealthStatus, compare_health, variance_inflation
 
 
 class MemberState(enum.StrEnum):
@@ -162,11 +162,11 @@
 Action = Send | Restart | UndoRequested
 
 
-def _answers_since(now: tuple[int, int], base: tuple[int, int]) -> Answers:
+def _answers_since(now: tuple[int, int], base: tuple[int, int]) -> AnswerCounts:
     """The answers between two counter values. If a counter went down, the process restarted and counts from 0."""
     if now[0] < base[0] or now[1] < base[1]:
-        return Answers(*now)
-    return Answers(now[0] - base[0], now[1] - base[1])
+        return AnswerCounts(*now)
+    return AnswerCounts(now[0] - base[0], now[1] - base[1])
 
 
 class Rollout:
@@ -192,7 +192,7 @@
         self._soak_baseline: dict[
             str, tuple[int, int]
         ] = {}  # counters of members of later waves when the soak began
-        self._soak_slices: dict[str, deque[Answers]] = {}  # their answers since then, per heartbeat
+        self._soak_slices: dict[str, deque[AnswerCounts]] = {}  # their answers since then, per heartbeat
         self._actions: list[Action] = []
         # Indexes that `_set` maintains, so that the cost of an event does not grow with the number of members.
         self._counts: Counter[MemberState] = Counter()
@@ -261,9 +261,9 @@
         member.connected, member.boot, member.has, member.holds = True, boot, has, holds
         if self.ended:
             if failed == member.target != has and member.state is MemberState.TOOK:
-                self._set(now, member, MemberState.REFUSED, reason or "the process ended with it")
+                self._set(now, member, MemberState.REFUSED, reason or "the process crashed with it")
                 if self.phase is Phase.DONE:
-                    self._end(Phase.INCOMPLETE, f"{name} has lost it again")
+                    self._end(Phase.INCOMPLETE, f"{name} no longer has the target")
             return self._handle_late_report(now, member)
         undoing = self.phase is Phase.UNDOING
         if member.state in (MemberState.REFUSED, MemberState.SUPERSEDED, MemberState.UNDONE):
@@ -275,10 +275,10 @@
         elif has == member.target and not holds:
             self._mark_took(now, member)
         elif failed == member.target and member.tries:
-            self._set(now, member, MemberState.REFUSED, reason or "the process ended with it")
+            self._set(now, member, MemberState.REFUSED, reason or "the process crashed with it")
         elif member.state is MemberState.RESTARTING:
             if boot != member.told_boot:
-                self._set(now, member, MemberState.REFUSED, reason or "came back from its restart without it")
+                self._set(now, member, MemberState.REFUSED, reason or "returned from its restart without it")
             else:  # the link broke, perhaps before the restart message arrived
                 self._retry(now, member, MemberState.NEEDS_RESTART)
         elif member.state in (MemberState.SENT, MemberState.UNREACHABLE, MemberState.GONE, MemberState.TOOK):
@@ -427,9 +427,9 @@
             member.before = previous_digests.get(member.name, member.before)
             member.tries = 0
             if member.state is MemberState.PENDING:
-                self._set(now, member, MemberState.UNDONE, "was never sent")
+                self._set(now, member, MemberState.UNDONE, "never sent")
             elif member.state is MemberState.REFUSED and member.has == member.before and not member.holds:
-                self._set(now, member, MemberState.UNDONE, f"had refused: {member.detail}")
+                self._set(now, member, MemberState.UNDONE, f"refused before the undo: {member.detail}")
             elif member.state in UNDOABLE:
                 if member.connected:
                     self._set(now, member, MemberState.PENDING)
@@ -463,7 +463,7 @@
         elif self.phase in (Phase.DONE, Phase.INCOMPLETE) and member.has == member.target:
             self._mark_took(now, member)
             if self.phase is Phase.INCOMPLETE and not self.missing():
-                self._end(Phase.DONE, "the last of them took it later")
+                self._end(Phase.DONE, "the last member took it after the end")
         return self._take_actions()
 
     def _retry(self, now: float, member: Member, state: MemberState) -> None:
@@ -492,11 +492,11 @@
         if state is MemberState.SENT:
             detail = "sent, and no answer in time"
         elif state is MemberState.RESTARTING:
-            detail = "did not come back from its restart in time"
+            detail = "did not return from its restart in time"
         self._set(now, member, MemberState.UNREACHABLE, detail, given_up=True)
         if state is MemberState.RESTARTING and self.phase is not Phase.UNDOING:
             # Continuing would take down one more instance for each that does not come back.
-            self._handle_trouble(now, f"{member.name} did not come back from its restart")
+            self._handle_trouble(now, f"{member.name} did not return from its restart")
 
     # --- indexes of members ---------------------------------------------------------------------
 
@@ -596,19 +596,19 @@
     def _check_health(self, now: float) -> None:
         """The health check: compare the failure ratio of the members that took the target with that of members of
         later waves. If all are worse than before, soak for longer: see release.health."""
-        changed = before = Answers()
-        others: list[Answers] = []
-        slices: list[tuple[Answers, ...]] = []
+        changed = before = AnswerCounts()
+        others: list[AnswerCounts] = []
+        slices: list[tuple[AnswerCounts, ...]] = []
         for name, member in self.members.items():
             if member.state is MemberState.TOOK:
                 changed += _answers_since(member.now, member.base)
-                before += Answers(*member.prior)
+                before += AnswerCounts(*member.prior)
             elif member.wave > self.wave and name in self._soak_baseline:
                 others.append(_answers_since(member.now, self._soak_baseline[name]))
                 slices.append(tuple(self._soak_slices.get(name, ())))
-        inflation = clustering(slices)
-        health = judge(changed, others, before, self.plan.max_worse, self.plan.min_answers, inflation)
-        if health.verdict is Verdict.EVERYWHERE:
+        inflation = variance_inflation(slices)
+        health = compare_health(changed, others, before, self.plan.max_worse, self.plan.min_answers, inflation)
+        if health.status is HealthStatus.WORSE_EVERYWHERE:
             self.reason, self.soak_until = health.text, self.spent(now) + self.plan.soak_s
             for member in self.members.values():
                 if member.state is MemberState.TOOK:
@@ -618,7 +618,7 @@
             return
         self.phase, self.reason = Phase.RUNNING, ""
         self.wave += 1
-        if health.verdict is Verdict.WORSE:
+        if health.status is HealthStatus.WORSE:
             self._handle_trouble(now, health.text)
 
     def _begin_soak(self) -> None:
@@ -646,7 +646,7 @@
         if self.phase is Phase.UNDOING:
             self._finish()
         else:
-            self._end(Phase.INCOMPLETE, f"its {self.plan.whole_s:g} s were over")
+            self._end(Phase.INCOMPLETE, f"its {self.plan.whole_s:g} s have passed")
         return self._take_actions()
 
     def _finish(self) -> None:
--- a/covetally/process.py
+++ b/covetally/process.py
@@ -34,7 +34,7 @@
 from covetally.signals import SignalHandlers
 
 if TYPE_CHECKING:
-    from covetally.control.gauges import Gauges
+    from covetally.control.status import ProcessStatus
     from covetally.control.instance import Instance
     from covetally.control.manager import Manager
     from covetally.membership.registration import Registrar
@@ -42,7 +42,7 @@
     from covetally.membership.settings import MembershipConfig
     from covetally.operator.schema import Values
     from covetally.shared_decisions import SharedDecisions
-    from covetally.tier.shell import Shell
+    from covetally.tier.transport import TierTransport
 
 TIER_MAGIC, TIER_MIN_BYTES = 0x54, 18  # see covetally/tier/wire.py
 GOSSIP_MAGIC, GOSSIP_MIN_BYTES = 0x57, 13  # see covetally/gossip/frame.py
@@ -83,7 +83,7 @@
         self.serving = False  # it accepts requests
         self.on_ready: Callable[[], None] | None = None
         self.roster: MembershipService | None = None
-        self.tier: Shell | None = None
+        self.tier: TierTransport | None = None
         self.shared_decisions: SharedDecisions | None = None
         self.registrar: Registrar | None = None
         self.monitor = LoopMonitor()
@@ -103,15 +103,15 @@
         return self.frontend.state
 
     @property
-    def ending(self) -> bool:
+    def shutting_down(self) -> bool:
         """Whether it has been asked to end."""
         return self.stop.is_set()
 
-    def gauges(self) -> Gauges:
+    def status_source(self) -> ProcessStatus:
         """Return the source of its heartbeats, snapshots and logs."""
-        from covetally.control.gauges import Gauges
+        from covetally.control.status import ProcessStatus
 
-        return Gauges(self)
+        return ProcessStatus(self)
 
     def drain(self, within_s: float | None) -> None:
         """Ask clients to leave, and close their connections within this time; None: as soon as possible."""
@@ -125,18 +125,18 @@
         """Reject clients from the start until `resume`."""
         self.frontend.start_drained()
 
-    def end(self) -> None:
+    def begin_shutdown(self) -> None:
         """Drain and exit."""
         self.stop.set()
 
-    def order(self, what: str) -> str:
+    def order_roster(self, what: str) -> str:
         """Pass an order to the roster; return an empty string, or why there is no roster."""
         if self.roster is None:
             return NO_ROSTER
         self.roster.apply_command(what)
         return ""
 
-    def manage(self, managed: Values) -> None:
+    def apply_managed(self, managed: Values) -> None:
         """Replace the agent's settings. Raises ConfigError and changes nothing if they cannot be used."""
         self.configuration.manage(managed)
         self._apply_configuration()
@@ -233,14 +233,14 @@
         self.upstream.update(update.entries, update.full)
         self.sidecar.update_servers(ServerListUpdate(scope, tuple(entry for entry, _ in update.entries)))
         if self.tier is not None:
-            self.tier.listed(self.sidecar.zones())
+            self.tier.update_servers(self.sidecar.zones())
 
     # --- peers ----------------------------------------------------------------------------------
 
     def _on_datagram(self, sender: int, data: bytes) -> None:
         """Dispatch a datagram: the balancer's messages have 8 bytes, the others more and a magic number."""
         if self.tier is not None and len(data) > TIER_MIN_BYTES and data[0] == TIER_MAGIC:
-            self.tier.heard(sender, data)
+            self.tier.receive(sender, data)
         elif self.shared_decisions is not None and len(data) >= GOSSIP_MIN_BYTES and data[0] == GOSSIP_MAGIC:
             self.shared_decisions.receive(sender, data)
         else:
@@ -254,15 +254,17 @@
                 self.tier.stop()
                 self.tier = self.sidecar.on_attempt = None
         elif self.tier is not None:
-            self.tier.change(plan.size, plan.held)
+            self.tier.reconfigure(plan.size, plan.limits)
         else:
-            from covetally.tier.shell import Parts, Shell
+            from covetally.tier.transport import TierTransport, TransportCallbacks
 
-            parts = Parts(self.clock.now, self.peers.send, self.sidecar.handle_event, self.sidecar.demand)
-            incarnation, seed = secrets.randbits(32), self.config.seed
-            self.tier = Shell(plan.me, plan.size, incarnation, seed, plan.site, plan.held, parts)
-            self.sidecar.on_attempt = self.tier.outcome
-            self.tier.listed(self.sidecar.zones())
+            callbacks = TransportCallbacks(
+                self.clock.now, self.peers.send, self.sidecar.handle_event, self.sidecar.demand
+            )
+            boot_id, seed = secrets.randbits(32), self.config.seed
+            self.tier = TierTransport(plan.index, plan.size, boot_id, seed, plan.member, plan.limits, callbacks)
+            self.sidecar.on_attempt = self.tier.record_attempt
+            self.tier.update_servers(self.sidecar.zones())
             self.tier.start()
 
     def _update_shared_decisions(self) -> None:
@@ -352,7 +354,7 @@
         if self.registrar is not None:
             await self.registrar.stop(cancel=not others_continue)
         if self.manager is not None:
-            self.manager.goodbye()
+            self.manager.announce_shutdown()
         await self.frontend.shut_down(self.configuration.shutdown.closed_s, accept=not others_continue)
         self.monitor.stop()
         self.discovery.stop()
--- a/tests/fleet/test_rollout.py
+++ b/tests/fleet/test_rollout.py
@@ -10,7 +10,7 @@
 from covetally.fleet.rollout import TERMINAL_PHASES, Member, Phase, Plan, MemberState, assign_waves
 from tests.fleet.simulated_fleet import NEW, OLD, SimulatedFleet, SimulatedInstance
 
-BEHAVIORS = ("obeys", "refuses", "stalls", "dies", "wants_restart", "loses_ack")
+BEHAVIORS = ("obeys", "refuses", "stalls", "crashes", "wants_restart", "loses_ack")
 
 
 def states(fleet: SimulatedFleet) -> dict[str, str]:
@@ -64,7 +64,7 @@
     [
         ("refuses", "refused", "k: no"),
         ("stalls", "unreachable", "sent, and no answer in time"),
-        ("dies", "refused", "its link was lost 2 times"),
+        ("crashes", "refused", "its link was lost 2 times"),
         ("wants_restart", "needs_restart", "process.listen"),
         ("loses_ack", "took", ""),
     ],
@@ -211,7 +211,7 @@
 def test_failures_at_all_members_prolong_the_soak_until_they_end():
     fleet = soaked(300, 320)
     assert fleet.rollout.phase is Phase.SOAKING
-    assert "30.0% of 1000 answers, 32.0% where it is not, 0.0% before: another cause" in fleet.rollout.reason
+    assert "30.0% of 1000 answers, 32.0% without the change, 0.0% before: another cause" in fleet.rollout.reason
     fleet.heartbeat("i00", 1100, 301)
     fleet.heartbeat("i01", 8100, 3821)
     fleet.heartbeat("i02", 1100, 321)
@@ -224,7 +224,7 @@
 def test_a_bad_change_is_detected_during_failures_at_all_members():
     fleet = soaked(450, 320)
     assert fleet.rollout.phase is Phase.PAUSED
-    assert "45.0% of 1000 answers, 32.0% where it is not" in fleet.rollout.reason
+    assert "45.0% of 1000 answers, 32.0% without the change" in fleet.rollout.reason
 
 
 def test_a_member_that_restarts_during_the_soak_counts_from_its_start():
@@ -248,7 +248,7 @@
     fleet.heartbeat("i00", 2000, 600)
     fleet.heartbeat("i01", 9000, 4140)
     fleet.advance_time(6)
-    assert fleet.rollout.phase is Phase.SOAKING and "32.0% where it is not" in fleet.rollout.reason
+    assert fleet.rollout.phase is Phase.SOAKING and "32.0% without the change" in fleet.rollout.reason
 
 
 def test_the_health_check_ignores_failures_from_before_the_change():
@@ -347,7 +347,7 @@
 
 def _scenario() -> SimulatedFleet:
     """A rollout with every kind of behavior, for the tests that kill the agent at each transition."""
-    behaviors = ["obeys", "wants_restart", "refuses", "loses_ack", "dies", "stalls", "obeys", "obeys"]
+    behaviors = ["obeys", "wants_restart", "refuses", "loses_ack", "crashes", "stalls", "obeys", "obeys"]
     return SimulatedFleet(
         behaviors, Plan(canary=1, shares=(0.5, 1.0), max_out=3, soak_s=2, restart=True, instance_s=5)
     )
--- a/tests/gossip/test_gossip.py
+++ b/tests/gossip/test_gossip.py
@@ -27,7 +27,7 @@
     try:
         assert encode(decode(data))[2:] == data[2:]
     except MalformedMessageError as error:
-        assert error.what and error.remedy
+        assert error.message and error.remedy
 
 
 def test_body_that_is_too_long_is_rejected():
