--- a/covetally/cli/freeze.py
+++ b/covetally/cli/freeze.py
@@ -1,4 +1,4 @@
-"""`cindersail freeze`: nothing planned is begun for a while."""
+"""The `cindersail freeze` commands, which block planned changes, restarts and drains for a limited time."""
 
 from __future__ import annotations
 
@@ -11,39 +11,41 @@
 
 @click.group()
 def freeze() -> None:
-    """Refuse changes, restarts and drains for a while. Going back is never held up."""
+    """Block changes, restarts and drains for a limited time. Undoing and aborting stay possible."""
 
 
 @freeze.command()
 @SELECTOR
 @REASON
-@click.option("--for", "for_s", type=click.FloatRange(1, 2_592_000), required=True, help="Seconds.")
-@click.option("--through", default="", help="An operator who may act all the same.")
+@click.option("--for", "for_s", type=click.FloatRange(1, 2_592_000), required=True, help="Duration in seconds.")
+@click.option("--through", default="", help="An operator who is exempt from the freeze.")
 @connected
 def add(where: Target, selector: str, reason: str, for_s: float, through: str, as_json: bool) -> None:
-    """Begin one for the selected instances, or for all."""
+    """Start a freeze for the selected instances, or for all."""
     body = {"selector": selector, "reason": reason, "for_s": for_s, "through": through}
-    made = client.call(where, "POST", "/v1/freezes", body)["freeze"]
-    show_json(made) if as_json else click.echo(made["text"])
+    freeze_entry = client.call(where, "POST", "/v1/freezes", body)["freeze"]
+    show_json(freeze_entry) if as_json else click.echo(freeze_entry["text"])
 
 
 @freeze.command()
 @click.argument("number", type=int)
 @connected
 def lift(where: Target, number: int, as_json: bool) -> None:
-    """End freeze NUMBER before its time."""
-    ended = client.call(where, "DELETE", f"/v1/freezes/{number}")["freeze"]
-    show_json(ended) if as_json else click.echo(f"freeze {number} is lifted")
+    """End freeze NUMBER before it expires."""
+    freeze_entry = client.call(where, "DELETE", f"/v1/freezes/{number}")["freeze"]
+    show_json(freeze_entry) if as_json else click.echo(f"freeze {number} is lifted")
 
 
 @freeze.command("list")
 @connected
 def list_(where: Target, as_json: bool) -> None:
-    """Show those in force, and what was lifted or lapsed in the last day."""
-    found = client.call(where, "GET", "/v1/freezes")["freezes"]
+    """List active freezes, and those lifted or expired within the last day."""
+    freezes = client.call(where, "GET", "/v1/freezes")["freezes"]
     if as_json:
-        show_json({"freezes": found})
+        show_json({"freezes": freezes})
         return
     print_table(("freeze", "state", "of", "by", "reason", "lets through"), [
-        (f["number"], f["state"], f["selector"] or "all", f["who"], f["reason"], f["through"]) for f in found
+        (entry["number"], entry["state"], entry["selector"] or "all",
+         entry["who"], entry["reason"], entry["through"])
+        for entry in freezes
     ])  # fmt: skip
