--- a/covetally/fleet/drafts.py
+++ b/covetally/fleet/drafts.py
@@ -99,17 +99,17 @@
 
     def _validate_layer(self, layer: Mapping[str, Any]) -> Values:
         try:
-            return check.checked(layer, managed=True)
+            return check.validate(layer, managed=True)
         except check.OperatorError as error:
             text = "; ".join(map(str, error.problems))
-            raise AgentRefusedError("bad_input", text, problems=[p.table() for p in error.problems]) from None
+            raise AgentRefusedError("bad_input", text, problems=[p.as_dict() for p in error.problems]) from None
 
     def _validate_effective(self, made: Document) -> None:
         """Validate the merged settings of every instance: layers that are valid alone may conflict when
         combined."""
         for instance in self._instances.values():
             try:
-                check.checked(made.effective(instance.name, instance.labels), managed=True)
+                check.validate(made.effective(instance.name, instance.labels), managed=True)
             except check.OperatorError as error:
                 raise AgentRefusedError("bad_input", f"for {instance.name}: {error.problems[0]}") from None
 
--- a/covetally/process.py
+++ b/covetally/process.py
@@ -34,7 +34,7 @@
 from covetally.signals import SignalHandlers
 
 if TYPE_CHECKING:
-    from covetally.control.gauges import Gauges
+    from covetally.control.status import ProcessStatus
     from covetally.control.instance import Instance
     from covetally.control.manager import Manager
     from covetally.membership.registration import Registrar
@@ -103,15 +103,15 @@
         return self.frontend.state
 
     @property
-    def ending(self) -> bool:
+    def shutting_down(self) -> bool:
         """Whether it has been asked to end."""
         return self.stop.is_set()
 
-    def gauges(self) -> Gauges:
+    def status_source(self) -> ProcessStatus:
         """Return the source of its heartbeats, snapshots and logs."""
-        from covetally.control.gauges import Gauges
+        from covetally.control.status import ProcessStatus
 
-        return Gauges(self)
+        return ProcessStatus(self)
 
     def drain(self, within_s: float | None) -> None:
         """Ask clients to leave, and close their connections within this time; None: as soon as possible."""
@@ -125,18 +125,18 @@
         """Reject clients from the start until `resume`."""
         self.frontend.start_drained()
 
-    def end(self) -> None:
+    def begin_shutdown(self) -> None:
         """Drain and exit."""
         self.stop.set()
 
-    def order(self, what: str) -> str:
+    def order_roster(self, what: str) -> str:
         """Pass an order to the roster; return an empty string, or why there is no roster."""
         if self.roster is None:
             return NO_ROSTER
         self.roster.apply_command(what)
         return ""
 
-    def manage(self, managed: Values) -> None:
+    def apply_managed(self, managed: Values) -> None:
         """Replace the agent's settings. Raises ConfigError and changes nothing if they cannot be used."""
         self.configuration.manage(managed)
         self._apply_configuration()
@@ -354,7 +354,7 @@
         if self.registrar is not None:
             await self.registrar.stop(cancel=not others_continue)
         if self.manager is not None:
-            self.manager.goodbye()
+            self.manager.announce_shutdown()
         await self.frontend.shut_down(self.configuration.shutdown.closed_s, accept=not others_continue)
         self.monitor.stop()
         self.discovery.stop()
