--- a/covetally/cli/tier.py
+++ b/covetally/cli/tier.py
@@ -1,4 +1,4 @@
-"""`cindersail tier`: what the sidecars know of each other and hold together, and where they disagree."""
+"""The `cindersail tier` commands, which show the state that sidecars share and where their views differ."""
 
 from __future__ import annotations
 
@@ -11,37 +11,39 @@
 from covetally.cli.client import Target
 from covetally.cli.shared import SELECTOR, connected, console, print_table, show_json
 
-Tables = dict[str, dict[str, Any]]
+InstanceTables = dict[str, dict[str, Any]]
 
 
 @click.group()
 def tier() -> None:
-    """Who is there, limits held together, verdicts on nodes: as each sidecar sees them."""
+    """Show peers, shared limits and ejected nodes as each sidecar sees them."""
 
 
-def differing(tables: Tables) -> dict[str, list[str]]:
-    """By instance: the members that it sees otherwise than most do."""
+def deviating_members(tables: InstanceTables) -> dict[str, list[str]]:
+    """Returns, for each deviating instance, the members whose state it sees differently from the majority."""
     votes: dict[int, Counter[str]] = {}
     for table in tables.values():
-        for seen in table.get("members", ()):
-            votes.setdefault(seen["member"], Counter())[seen["state"]] += 1
-    most = {member: found.most_common(1)[0][0] for member, found in votes.items()}
-    found = {}
+        for member in table.get("members", ()):
+            votes.setdefault(member["member"], Counter())[member["state"]] += 1
+    majority = {number: states.most_common(1)[0][0] for number, states in votes.items()}
+    deviations = {}
     for name, table in tables.items():
-        seen = table.get("members", ())
-        words = [f"{s['member']} {s['state']}" for s in seen if s["state"] != most[s["member"]]]
-        if words:
-            found[name] = words
-    return found
+        members_seen = table.get("members", ())
+        states = [f"{m['member']} {m['state']}" for m in members_seen if m["state"] != majority[m["member"]]]
+        if states:
+            deviations[name] = states
+    return deviations
 
 
-def totals(tables: Tables) -> list[dict[str, Any]]:
-    """By limit: what all that answered may use now, beside the amount. Those that did not answer use at most the
-    bound's rest, their own parts."""
-    found: dict[str, dict[str, Any]] = {}
+def totals(tables: InstanceTables) -> list[dict[str, Any]]:
+    """Returns, for each limit, the sums over all instances that answered, and the configured amounts.
+
+    Instances that did not answer use at most the rest of the limit, which is the sum of their own quotas.
+    """
+    rows: dict[str, dict[str, Any]] = {}
     for table in tables.values():
         for limit in table.get("limits", ()):
-            row = found.setdefault(limit["limit"], {
+            row = rows.setdefault(limit["limit"], {
                 "limit": limit["limit"], "amounts": set(), "usable": 0.0, "lent": 0.0, "demand": 0.0,
                 "sidecars": 0,
             })  # fmt: skip
@@ -49,7 +51,7 @@
             row["sidecars"] += 1
             for key in ("usable", "lent", "demand"):
                 row[key] += limit[key]
-    return [row | {"amounts": sorted(row["amounts"])} for row in found.values()]
+    return [row | {"amounts": sorted(row["amounts"])} for row in rows.values()]
 
 
 @tier.command()
@@ -57,19 +59,19 @@
 @SELECTOR
 @connected
 def members(where: Target, name: str | None, selector: str, as_json: bool) -> None:
-    """Show who is there as all selected instances see it, or as one instance NAME does."""
+    """Show the members as seen by all selected instances, or by one instance NAME."""
     found = client.instances(where, "/v1/tiers", name, selector)
-    differ = differing(found)
+    deviations = deviating_members(found)
     if as_json:
-        show_json({"instances": found, "differ": differ})
+        show_json({"instances": found, "differ": deviations})
         return
     rows = []
     for instance, table in found.items():
         if "members" not in table:
             rows.append((instance, "", "", "", "", table.get("off") or table.get("error", "?")))
             continue
-        states = Counter(seen["state"] for seen in table["members"])
-        note = [f"sees {', '.join(differ[instance][:6])}"] if instance in differ else []
+        states = Counter(member["state"] for member in table["members"])
+        note = [f"sees {', '.join(deviations[instance][:6])}"] if instance in deviations else []
         note += [f"{table['twins']} words of another process with its number"] if table["twins"] else []
         rows.append((
             instance, table["member"], table["life"], states["alive"],
@@ -78,10 +80,10 @@
     print_table(("instance", "member", "life", "alive", "others", "note"), rows)
     if name and "members" in found[name]:
         print_table(("member", "state", "for s", "accused by"), [
-            (s["member"], s["state"], s["for_s"], ", ".join(map(str, s["accused_by"])))
-            for s in found[name]["members"]
+            (member["member"], member["state"], member["for_s"], ", ".join(map(str, member["accused_by"])))
+            for member in found[name]["members"]
         ])  # fmt: skip
-    console.print(f"{len(found)} instances, {len(differ)} differ from what most see")
+    console.print(f"{len(found)} instances, {len(deviations)} differ from what most see")
 
 
 @tier.command()
@@ -89,7 +91,7 @@
 @SELECTOR
 @connected
 def limits(where: Target, name: str | None, selector: str, as_json: bool) -> None:
-    """Show the limits: what each sidecar may use, has lent and borrowed, and could use."""
+    """Show the shared limits: what each sidecar may use, has borrowed and lent, and its demand."""
     found = client.instances(where, "/v1/tiers", name, selector)
     sums = totals(found)
     if as_json:
@@ -119,8 +121,7 @@
 @SELECTOR
 @connected
 def line(where: Target, name: str | None, selector: str, as_json: bool) -> None:
-    """Show where the fleet's overload line stands at each sidecar: which step, since when, why, what it
-    refused."""
+    """Show the fleet-wide admission threshold at each sidecar: its step, since when, why, and what it refused."""
     found = client.instances(where, "/v1/lines", name, selector)
     if as_json:
         show_json({"instances": found})
@@ -130,7 +131,7 @@
         if "step" not in table:
             rows.append((instance, "", "", "", "", "", "", table.get("off") or table.get("error", "?")))
             continue
-        refused = ", ".join(f"{what} {count}" for what, count in table["refused"].items())
+        refused = ", ".join(f"{kind} {count}" for kind, count in table["refused"].items())
         note = f"{table['pin']}, {table['pin_for_s']:g} s left" if table["pin"] else ""
         note = note or (f"{table['lapsed']} has lapsed" if table["lapsed"] else "")
         rows.append((
@@ -146,26 +147,28 @@
 @SELECTOR
 @connected
 def caps(where: Target, name: str | None, selector: str, as_json: bool) -> None:
-    """Show workshops' connection caps: units held, in use, wanted, and what each home has lent."""
+    """Show tenants' connection caps: units usable, in use and wanted, and what each owner has lent."""
     found = client.instances(where, "/v1/caps", name, selector)
     if as_json:
         show_json({"instances": found})
         return
     rows, sums = [], {}
     for instance, table in found.items():
-        for cap, one in table.get("caps", {}).items():
-            home = one["home"]
+        for cap, units in table.get("caps", {}).items():
+            owner = units["home"]
             rows.append((
-                cap, instance, one["usable"], one["in_use"], one["resting"], one["wanted"],
-                f"{home['lent']} of {home['units']} lent" if home else "",
-                f"waits for {home['waits_for']}" if home and home["waits_for"] else "",
+                cap, instance, units["usable"], units["in_use"], units["resting"], units["wanted"],
+                f"{owner['lent']} of {owner['units']} lent" if owner else "",
+                f"waits for {owner['waits_for']}" if owner and owner["waits_for"] else "",
             ))  # fmt: skip
-            held, open_, amount, units = sums.get(cap, (0, 0, one["cap"], 0))
-            sums[cap] = (held + one["usable"], open_ + one["in_use"], amount, units + home.get("units", 0))
+            usable, in_use, amount, owned = sums.get(cap, (0, 0, units["cap"], 0))
+            sums[cap] = (
+                usable + units["usable"], in_use + units["in_use"], amount, owned + owner.get("units", 0),
+            )  # fmt: skip
     print_table(("cap", "instance", "usable", "in use", "resting", "wanted", "home", "note"), rows)
-    for cap, (held, open_, amount, units) in sums.items():
-        where_ = f"{held} usable at {len(found)} sidecars, {units} of {amount} units at home"
-        console.print(f"{cap}: {open_} in use, {where_}")
+    for cap, (usable, in_use, amount, owned) in sums.items():
+        summary = f"{usable} usable at {len(found)} sidecars, {owned} of {amount} units at home"
+        console.print(f"{cap}: {in_use} in use, {summary}")
 
 
 @tier.command()
@@ -173,7 +176,7 @@
 @SELECTOR
 @connected
 def verdicts(where: Target, name: str | None, selector: str, as_json: bool) -> None:
-    """Show which nodes and zones are accused or avoided, by whom, and how old the oldest word is."""
+    """Show which nodes and zones are reported or ejected, by whom, and the age of the oldest report."""
     found = client.instances(where, "/v1/tiers", name, selector)
     if as_json:
         show_json({"instances": found})
@@ -183,12 +186,12 @@
         for verdict in table.get("verdicts", ()):
             subjects.setdefault((verdict["of"], verdict["class"]), []).append((instance, verdict))
     rows = []
-    for (of, cls), seen in sorted(subjects.items()):
-        accusers = sorted({n for _, v in seen for n in v["accused_by"]})
-        well = sorted({n for _, v in seen for n in v["well_for"]})
+    for (subject, cls), entries in sorted(subjects.items()):
+        reporters = sorted({n for _, v in entries for n in v["accused_by"]})
+        healthy_for = sorted({n for _, v in entries for n in v["well_for"]})
         rows.append((
-            of, "all" if cls < 0 else cls, f"{sum(v['avoided'] for _, v in seen)} of {len(found)}",
-            ", ".join(map(str, accusers)), ", ".join(map(str, well)), max(v["age_s"] for _, v in seen),
+            subject, "all" if cls < 0 else cls, f"{sum(v['avoided'] for _, v in entries)} of {len(found)}",
+            ", ".join(map(str, reporters)), ", ".join(map(str, healthy_for)), max(v["age_s"] for _, v in entries),
         ))  # fmt: skip
     print_table(("node or zone", "class", "avoided by", "accused by members", "well for members", "age s"), rows)
     if not rows:
