--- a/covetally/cli/drain.py
+++ b/covetally/cli/drain.py
@@ -1,5 +1,7 @@
-"""`cindersail drain` and `cindersail outages`: who goes out, in which order, under which floors; who is out and
-why."""
+"""The `cindersail drain` and `cindersail outages` commands.
+
+They drain or restart instances in waves that respect capacity floors, and show which units are out and why.
+"""
 
 from __future__ import annotations
 
@@ -22,62 +24,63 @@
     "within_s",
     type=click.FloatRange(0),
     metavar="S",
-    help="Hold no connection and no request after so long.  [the longest deadline and 0.5 s]",
+    help="Seconds until all requests have to be finished and connections closed.  [longest deadline + 0.5]",
 )
 @REASON
 @connected
 def drain(where: Target, selector: str, within_s: float | None, reason: str, as_json: bool) -> None:
-    """Let instances tell their clients to stay away, until `resume`; or, with a command, drain under floors.
+    """Drain instances until `resume`; with a subcommand, drain or restart a fleet within capacity floors.
 
-    The order holds over restarts and crashes of the instances. A drained one refuses whoever comes.
+    Clients are notified to use other instances. Drained instances refuse new clients and stay drained when they
+    restart or crash.
     """
     if click.get_current_context().invoked_subcommand is not None:
         return
     body = {"selector": selector, "within_s": within_s, "reason": reason}
-    found = client.call(where, "POST", "/v1/drain", body)["instances"]
+    results = client.call(where, "POST", "/v1/drain", body)["instances"]
     if as_json:
-        show_json({"instances": found})
+        show_json({"instances": results})
     else:
-        for item in found:
+        for item in results:
             click.echo(f"{item['name']}: {'done' if item['done'] else item['error']}")
-    sys.exit(ALL_TOOK if all(item["done"] for item in found) else SOME_DID_NOT)
+    sys.exit(ALL_TOOK if all(item["done"] for item in results) else SOME_DID_NOT)
 
 
-def _floor(text: str) -> list[Any]:
-    """[zone, figure, whether it is a share] of ZONE=N or ZONE=N%."""
-    where, equals, figure = text.partition("=")
+def _parse_floor(text: str) -> list[Any]:
+    """Parses ZONE=N or ZONE=N% into [zone, number, whether the number is a share]."""
+    zone, equals, amount = text.partition("=")
     try:
-        share = figure.endswith("%")
-        number = float(figure.removesuffix("%")) / (100 if share else 1)
+        is_share = amount.endswith("%")
+        number = float(amount.removesuffix("%")) / (100 if is_share else 1)
     except ValueError:
         number = -1.0
-    if not equals or not where or number < 0 or (figure.endswith("%") and number > 1):
+    if not equals or not zone or number < 0 or (amount.endswith("%") and number > 1):
         raise client.Failure(f"--floor {text}: has to be ZONE=N or ZONE=N%, ZONE a zone, each or all", BAD_INPUT)
-    return [where, number, figure.endswith("%")]
+    return [zone, number, amount.endswith("%")]
 
 
-def _ordered(command: Callable[..., Any]) -> Callable[..., Any]:
-    """Adds the options of an order; the command gets `order`."""
+def _with_order_options(command: Callable[..., Any]) -> Callable[..., Any]:
+    """Adds the options of a drain order; the command receives them as `order`."""
 
     @click.option(
         "--what",
         type=click.Choice(["restart", "drain"]),
         default="restart",
         show_default=True,
-        help="What is done to each; who is drained stays out until it is resumed.",
+        help="Operation on each instance; a drained instance stays out until it is resumed.",
     )
     @click.option(
         "--floor",
         "floors",
         multiple=True,
         metavar="ZONE=N[%]",
-        help="The least that stays in: of a zone, of each, or of all.  [each=50%]",
+        help="Minimum capacity that stays in service, for one zone, each zone or all.  [each=50%]",
     )
     @click.option(
         "--after-loss",
         type=click.FloatRange(0),
         default=0.0,
-        help="The least that stays in besides whichever zone is lost next.",
+        help="Minimum capacity that has to remain in service even if any one zone is lost.",
     )
     @click.option("--drain-s", type=click.FloatRange(0), default=5.0, show_default=True)
     @click.option("--return-s", type=click.FloatRange(0), default=10.0, show_default=True)
@@ -86,7 +89,7 @@
         type=click.FloatRange(0),
         default=0.0,
         show_default=True,
-        help="Until one that is back counts whole.",
+        help="Seconds until a returned instance counts as full capacity.",
     )
     @functools.wraps(command)
     def wrapped(
@@ -96,62 +99,65 @@
         drain_s: float,
         return_s: float,
         warm_s: float,
-        **more: Any,
+        **options: Any,
     ) -> Any:
         order = {
-            "what": what, "floors": [_floor(text) for text in floors or ("each=50%",)], "after_loss": after_loss,
-            "drain_s": drain_s, "return_s": return_s, "warm_s": warm_s,
+            "what": what, "floors": [_parse_floor(text) for text in floors or ("each=50%",)],
+            "after_loss": after_loss, "drain_s": drain_s, "return_s": return_s, "warm_s": warm_s,
         }  # fmt: skip
-        return command(order=order, **more)
+        return command(order=order, **options)
 
     return wrapped
 
 
 @drain.command("plan")
 @SELECTOR
-@_ordered
+@_with_order_options
 @connected
 def plan(where: Target, selector: str, order: dict[str, Any], as_json: bool) -> None:
-    """Show the waves, their arithmetic, and what would shorten them. Nothing is begun."""
-    found = client.call(where, "POST", "/v1/drains", order | {"selector": selector, "dry_run": True})["plan"]
+    """Show the planned waves, their capacity calculation and what would shorten them; start nothing."""
+    preview = client.call(where, "POST", "/v1/drains", order | {"selector": selector, "dry_run": True})["plan"]
     if as_json:
-        show_json(found)
+        show_json(preview)
     else:
-        click.echo("\n".join(found["text"]))
+        click.echo("\n".join(preview["text"]))
 
 
 @drain.command("start")
 @SELECTOR
 @REASON
-@_ordered
+@_with_order_options
 @connected
 def start(where: Target, selector: str, reason: str, order: dict[str, Any], as_json: bool) -> None:
-    """Begin an order; it goes on by itself, wave after wave, under its floors."""
-    done = client.call(where, "POST", "/v1/drains", order | {"selector": selector, "reason": reason})
-    _show(done, as_json)
+    """Start a drain order, which the agent runs wave by wave within its floors."""
+    result = client.call(where, "POST", "/v1/drains", order | {"selector": selector, "reason": reason})
+    _show(result, as_json)
 
 
 @drain.command()
 @connected
 def status(where: Target, as_json: bool) -> None:
-    """Show the order under way, or the last one."""
+    """Show the current drain order, or the last one."""
     _show(client.call(where, "GET", "/v1/drains"), as_json)
 
 
-def _steered(what: str, text: str) -> None:
-    @drain.command(what, help=text)
+def _add_control_command(action: str, help_text: str) -> None:
+    """Adds the command that sends one action, such as halt, for the current order."""
+
+    @drain.command(action, help=help_text)
     @REASON
     @connected
     def command(where: Target, reason: str, as_json: bool) -> None:
-        _show(client.call(where, "POST", f"/v1/drains/{what}", {"reason": reason}), as_json)
+        _show(client.call(where, "POST", f"/v1/drains/{action}", {"reason": reason}), as_json)
 
 
-_steered("halt", "Nothing new from here on; who is out comes back.")
-_steered("resume", "Go on with an order that was halted.")
-_steered("back", "End it: who has not gone never goes, who is out comes back.")
+_add_control_command("halt", "Halt the order: no more instances go out, those that are out return.")
+_add_control_command("resume", "Resume a halted order.")
+_add_control_command("back", "End the order: no more instances go out, those that are out return.")
 
 
 def _show(table: dict[str, Any], as_json: bool) -> None:
+    """Prints the state of the current drain order."""
     if as_json:
         show_json(table)
         return
@@ -163,31 +169,33 @@
     console.print(f"order {order['number']} by {order['who']} is {order['phase']}{reason}")
     gone, left, out = len(order["gone"]), len(order["left"]), len(table["permits"])
     console.print(f"{gone} have gone, {left} have not yet, {out} are out by it")
-    for unit, why in order["failed"].items():
-        console.print(f"  {unit}: {why}")
+    for unit, cause in order["failed"].items():
+        console.print(f"  {unit}: {cause}")
 
 
 @click.command()
-@click.option("--write-off", metavar="NAME", help="Say that NAME, which is out by a permit, does not come back.")
+@click.option(
+    "--write-off", metavar="NAME", help="Declare that unit NAME, which is out by a permit, will not return."
+)
 @connected
 def outages(where: Target, write_off: str | None, as_json: bool) -> None:
-    """Show who is out, by plan or not, why and since when, beside the floors."""
+    """Show the units that are out, planned or not, with cause and duration, and capacity beside the floors."""
     if write_off is not None:
-        ended = client.call(where, "POST", f"/v1/drains/write-off/{write_off}")
-        show_json(ended) if as_json else click.echo(f"{write_off}: {ended['ended']}")
+        result = client.call(where, "POST", f"/v1/drains/write-off/{write_off}")
+        show_json(result) if as_json else click.echo(f"{write_off}: {result['ended']}")
         return
     table = client.call(where, "GET", "/v1/drains")
     if as_json:
         show_json({key: table[key] for key in ("out", "permits", "capacity", "floors", "epoch")})
         return
-    now = table["now"]  # the agent's: this machine's clock may be another
+    now = table["now"]  # the agent's clock, which may differ from this machine's
     rows = []
-    for one in table["out"]:
-        lasts = round(now - one["since"]) if one["since"] else ""
-        by_plan = "yes" if one["planned"] else ""
-        rows.append((one["unit"], one["zone"], one["state"], lasts, by_plan, one["cause"]))
+    for outage in table["out"]:
+        duration_s = round(now - outage["since"]) if outage["since"] else ""
+        planned = "yes" if outage["planned"] else ""
+        rows.append((outage["unit"], outage["zone"], outage["state"], duration_s, planned, outage["cause"]))
     print_table(("unit", "zone", "state", "for s", "by plan", "cause"), rows)
     for zone, capacity in sorted(table["capacity"].items()):
         floor = table["floors"].get(zone)
-        beside = f", floor {floor:g}" if floor is not None else ""
-        console.print(f"{zone or 'no zone'}: {capacity:g} in{beside}")
+        floor_text = f", floor {floor:g}" if floor is not None else ""
+        console.print(f"{zone or 'no zone'}: {capacity:g} in{floor_text}")
--- a/covetally/cli/rollouts.py
+++ b/covetally/cli/rollouts.py
@@ -1,4 +1,4 @@
-"""`cindersail rollout`, and how a rollout is followed to its end."""
+"""The `cindersail rollout` commands, and the progress display of every command that starts a rollout."""
 
 from __future__ import annotations
 
@@ -16,23 +16,23 @@
 
 @click.group()
 def rollout() -> None:
-    """Look at rollouts and steer them."""
+    """Show and control rollouts."""
 
 
 @rollout.command("status")
 @click.argument("number", type=int, required=False)
 @connected
 def rollout_status(where: Target, number: int | None, as_json: bool) -> None:
-    """Show one rollout, or all that are known."""
+    """Show one rollout, or list all known rollouts."""
     if number is None:
-        found = client.call(where, "GET", "/v1/rollouts")
+        response = client.call(where, "GET", "/v1/rollouts")
         if as_json:
-            show_json(found)
+            show_json(response)
             return
         rows = [
             (item["number"], item["revision"], item["selector"] or "all", item["author"], item["phase"],
-             _counts(item), item["why"] or item["reason"])
-            for item in found["rollouts"]
+             _format_counts(item), item["why"] or item["reason"])
+            for item in response["rollouts"]
         ]  # fmt: skip
         print_table(("rollout", "revision", "for", "by", "phase", "states", "why"), rows)
         return
@@ -42,85 +42,101 @@
 
 @rollout.command("watch")
 @click.argument("number", type=int)
-@click.option("--patience", type=float, default=60.0, show_default=True, help="Seconds to wait for an agent.")
+@click.option(
+    "--patience", type=float, default=60.0, show_default=True, help="Seconds to wait for an unreachable agent."
+)
 @connected
 def rollout_watch(where: Target, number: int, patience: float, as_json: bool) -> None:
-    """Follow a rollout to its end."""
+    """Show the progress of rollout NUMBER until it ends."""
     item = _follow(where, number, as_json, patience)
     _report(item, as_json, {})
 
 
-def _steer(what: str, text: str) -> None:
-    @rollout.command(what, help=text)
+def _add_control_command(action: str, help_text: str) -> None:
+    """Adds the command that sends one action, such as pause, for a rollout."""
+
+    @rollout.command(action, help=help_text)
     @click.argument("number", type=int)
     @REASON
     @connected
     def command(where: Target, number: int, reason: str, as_json: bool) -> None:
-        item = client.call(where, "POST", f"/v1/rollouts/{number}/{what}", {"reason": reason})["rollout"]
+        item = client.call(where, "POST", f"/v1/rollouts/{number}/{action}", {"reason": reason})["rollout"]
         show_json(item) if as_json else click.echo(f"rollout {number}: {item['phase']}")
 
 
-_steer("pause", "Send nothing more until it is resumed.")
-_steer("resume", "Go on with a paused rollout.")
-_steer("abort", "Stop here: who has it keeps it, who has not is named.")
-_steer("undo", "Give everybody back what was before; makes a revision of its own.")
+_add_control_command("pause", "Pause a rollout: no more instances are changed until it is resumed.")
+_add_control_command("resume", "Resume a paused rollout.")
+_add_control_command("abort", "Stop a rollout: changed instances stay changed, the others are listed.")
+_add_control_command("undo", "Restore the previous settings everywhere, by a new revision.")
+
 
+def finish(where: Target, item: dict[str, Any], wait: bool, as_json: bool, extra: dict[str, Any]) -> None:
+    """Reports a rollout that was just started; with `wait`, follows it and exits with its status.
 
-def finish(where: Target, item: dict[str, Any], wait: bool, as_json: bool, more: dict[str, Any]) -> None:
+    `extra` is added to the JSON output.
+    """
     if not wait:
         text = f"rollout {item['number']}: {item['phase']}"
-        show_json(more | {"rollout": item}) if as_json else click.echo(text)
+        show_json(extra | {"rollout": item}) if as_json else click.echo(text)
         return
     last = _follow(where, item["number"], as_json, 60.0)
-    _report(last, as_json, more, undone_is_good=False)  # what was asked for has been taken back
+    _report(last, as_json, extra, undone_is_success=False)  # an undone change did not take effect
 
 
 def _follow(where: Target, number: int, quiet: bool, patience_s: float) -> dict[str, Any]:
-    """Show a rollout's progress until it is over: a bar on a terminal, else a line for each change."""
+    """Shows a rollout's progress until it ends: a bar on a terminal, otherwise a line per change.
+
+    Returns the last state of the rollout.
+    """
 
     async def run() -> dict[str, Any]:
-        text = TextColumn("{task.fields[s]}")
-        columns = (TextColumn("{task.description}"), BarColumn(), MofNCompleteColumn(), text)
+        status_column = TextColumn("{task.fields[s]}")
+        columns = (TextColumn("{task.description}"), BarColumn(), MofNCompleteColumn(), status_column)
         bar = Progress(*columns, console=console, transient=True, disable=quiet or not console.is_terminal)
-        last, item = "", {}
+        last_line, item = "", {}
         with bar:
             task = bar.add_task(f"rollout {number}", total=1, s="")
             async for item in client.follow(where, number, patience_s):
-                open_ = sum(item["counts"].get(s, 0) for s in ("pending", "sent", "restarting"))
-                settled = item["members"] - open_
-                line = f"{item['phase']}, wave {item['wave']} of {item['waves']}: {_counts(item)}"
-                bar.update(task, total=item["members"], completed=settled, s=line)
-                if line != last and not quiet and not console.is_terminal:
+                unfinished = sum(item["counts"].get(state, 0) for state in ("pending", "sent", "restarting"))
+                finished = item["members"] - unfinished
+                line = f"{item['phase']}, wave {item['wave']} of {item['waves']}: {_format_counts(item)}"
+                bar.update(task, total=item["members"], completed=finished, s=line)
+                if line != last_line and not quiet and not console.is_terminal:
                     click.echo(f"rollout {number}: {line}")
-                last = line
+                last_line = line
         return item
 
     return asyncio.run(run())
 
 
-def _counts(item: dict[str, Any]) -> str:
+def _format_counts(item: dict[str, Any]) -> str:
+    """The number of instances in each state."""
     return ", ".join(f"{count} {state}" for state, count in sorted(item["counts"].items())) or "nobody"
 
 
 def _show_rollout(item: dict[str, Any]) -> None:
+    """Prints the state of a rollout and the instances that it did not change."""
     click.echo(
         f"rollout {item['number']} of revision {item['revision']} by {item['author']} for "
         f"{item['selector'] or 'all'}: {item['phase']} after {item['spent']} s"
     )
     if item["why"]:
         click.echo(f"because: {item['why']}")
-    click.echo(_counts(item))
+    click.echo(_format_counts(item))
     for member in item["missing"]:
         detail = f": {member['detail']}" if member["detail"] else ""
         click.echo(f"  {member['name']} {member['state']}{detail}")
 
 
-def _report(item: dict[str, Any], as_json: bool, more: dict[str, Any], undone_is_good: bool = True) -> None:
+def _report(item: dict[str, Any], as_json: bool, extra: dict[str, Any], undone_is_success: bool = True) -> None:
+    """Prints the result of a rollout and exits with its status."""
     if as_json:
-        show_json(more | {"rollout": item})
+        show_json(extra | {"rollout": item})
     else:
         _show_rollout(item)
         if item["phase"] == "paused":
             click.echo(f"It stands still: `cindersail rollout resume|undo|abort {item['number']}`.")
-    good = item["phase"] == "done" or (undone_is_good and item["phase"] == "undone" and not item["missing"])
-    sys.exit(ALL_TOOK if good else SOME_DID_NOT)
+    succeeded = item["phase"] == "done" or (
+        undone_is_success and item["phase"] == "undone" and not item["missing"]
+    )
+    sys.exit(ALL_TOOK if succeeded else SOME_DID_NOT)
