--- a/covetally/cli/client.py
+++ b/covetally/cli/client.py
@@ -1,4 +1,4 @@
-"""Calls to the agent, and what becomes of them: an answer, or one of the command's exit codes."""
+"""The client of the agent's HTTP API, which maps errors to the exit codes of the command."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 import aiohttp
 import click
 
-ALL_TOOK, SOME_DID_NOT, BAD_INPUT, CONFLICT, UNREACHABLE, DENIED = range(6)
-CODES = {
-    "bad_input": BAD_INPUT, "unknown": BAD_INPUT, "refused": SOME_DID_NOT, "denied": DENIED,
+ALL_SUCCEEDED, SOME_FAILED, BAD_INPUT, CONFLICT, UNREACHABLE, DENIED = range(6)
+EXIT_CODES = {
+    "bad_input": BAD_INPUT, "unknown": BAD_INPUT, "refused": SOME_FAILED, "denied": DENIED,
     "conflict": CONFLICT, "busy": CONFLICT, "unreachable": UNREACHABLE, "recovering": UNREACHABLE,
 }  # fmt: skip
-CALL_S = 30.0
+CALL_TIMEOUT_S = 30.0
 
 
 class Failure(click.ClickException):
-    """A call that did not do what was asked: a text for people, all of it for machines, and the exit status."""
+    """A failed command: a message, the full error for JSON output, and the exit status."""
 
     def __init__(self, text: str, code: int, table: dict[str, Any] | None = None) -> None:
         super().__init__(text)
@@ -32,7 +32,7 @@
         self.table = table or {"error": "failed", "text": text}
 
     def show(self, file: Any = None) -> None:
-        """Say it on standard error; with --json on standard output, as JSON."""
+        """Prints the error to standard error; with --json, as JSON to standard output."""
         context = click.get_current_context(silent=True)
         if context is not None and context.params.get("as_json"):
             click.echo(json.dumps(self.table, indent=2))
@@ -40,32 +40,32 @@
             click.echo(f"cindersail: {self.message}", err=True)
 
 
-def default_state() -> Path:
-    """Where an agent keeps its state if it is not told: the user's own folder for such (XDG base directories)."""
+def default_state_directory() -> Path:
+    """The default directory of an agent's state, in the user's state directory (XDG base directories)."""
     base = os.environ.get("XDG_STATE_HOME") or Path.home() / ".local/state"
     return Path(base) / "cindersail"
 
 
-def default_agent() -> str:
-    """The agent that is meant if none is named."""
-    return f"unix:{default_state() / 'operators.sock'}"
+def default_agent_address() -> str:
+    """The address of this user's agent, used if no --agent is given."""
+    return f"unix:{default_state_directory() / 'operators.sock'}"
 
 
 @dataclass(frozen=True, slots=True)
 class Target:
-    """Which agent, and as whom."""
+    """The address of an agent, and the token that authenticates the caller."""
 
     agent: str
     token: str = ""
 
     @property
     def base(self) -> str:
-        """What paths are put behind."""
+        """The base URL to which request paths are appended."""
         return "http://agent" if self.agent.startswith("unix:") else self.agent.rstrip("/")
 
 
-def target(agent: str, token_file: Path | None) -> Target:
-    """Checked; Failure if the words are no agent or the file cannot be read."""
+def create_target(agent: str, token_file: Path | None) -> Target:
+    """Creates a target; raises Failure if the address is invalid or the token file cannot be read."""
     if not agent.startswith(("unix:/", "http://", "https://")):
         text = f"--agent {agent}: has to be unix:/PATH or http://HOST:PORT"
         raise Failure(text, BAD_INPUT)
@@ -79,19 +79,19 @@
 
 
 class Client:
-    """Calls to one agent, within `connect`."""
+    """An open connection to one agent, created by `connect`."""
 
-    def __init__(self, where: Target, session: aiohttp.ClientSession) -> None:
-        self._where, self._session = where, session
+    def __init__(self, target: Target, session: aiohttp.ClientSession) -> None:
+        self._target, self._session = target, session
 
     async def call(self, method: str, path: str, body: dict[str, Any] | None = None) -> dict[str, Any]:
-        """The answer; Failure if there is none or it is an error."""
+        """Returns the JSON response; raises Failure if the agent is unreachable or responds with an error."""
         try:
-            async with self._session.request(method, self._where.base + path, json=body) as answer:
-                status, text = answer.status, await answer.text()
+            async with self._session.request(method, self._target.base + path, json=body) as response:
+                status, text = response.status, await response.text()
         except (aiohttp.ClientError, OSError, TimeoutError) as error:
             text = (
-                f"no agent at {self._where.agent}: {error or type(error).__name__}. Is `cindersail agent` "
+                f"no agent at {self._target.agent}: {error or type(error).__name__}. Is `cindersail agent` "
                 "running? Name another with --agent or CINDERSAIL_AGENT."
             )
             raise Failure(text, UNREACHABLE) from None
@@ -100,49 +100,52 @@
         except ValueError:
             table = None
         if not isinstance(table, dict):
-            raise Failure(f"{self._where.agent} answered {status} and no JSON: no agent?", UNREACHABLE)
+            raise Failure(f"{self._target.agent} answered {status} and no JSON: no agent?", UNREACHABLE)
         if status >= 400:
-            code = CODES.get(table.get("error", ""), SOME_DID_NOT)
+            code = EXIT_CODES.get(table.get("error", ""), SOME_FAILED)
             if status in (401, 403):
                 code = DENIED
             raise Failure(_explain(table), code, table)
         return table
 
     @asynccontextmanager
-    async def news(self) -> AsyncIterator[AsyncIterator[dict[str, Any]]]:
-        """What the agent tells as it happens; ends when the agent does."""
+    async def watch_events(self) -> AsyncIterator[AsyncIterator[dict[str, Any]]]:
+        """Opens the agent's event stream, which ends when the agent closes it."""
 
-        async def read() -> AsyncIterator[dict[str, Any]]:
+        async def read_events() -> AsyncIterator[dict[str, Any]]:
             async for message in socket:
                 if message.type == aiohttp.WSMsgType.TEXT:
                     yield json.loads(message.data)
 
-        async with self._session.ws_connect(self._where.base + "/v1/watch") as socket:
-            yield read()
+        async with self._session.ws_connect(self._target.base + "/v1/watch") as socket:
+            yield read_events()
 
 
 def _explain(table: dict[str, Any]) -> str:
-    """An error of the agent with what to do next."""
-    text, kind = str(table.get("text", "failed")), table.get("error")
-    if kind == "conflict" and table.get("changes"):
-        lines = [f"  {c['key']} ({c['selector'] or 'all'}): {c['old']} -> {c['new']}" for c in table["changes"]]
+    """The message of an agent's error, with advice on the next step."""
+    text, error_code = str(table.get("text", "failed")), table.get("error")
+    if error_code == "conflict" and table.get("changes"):
+        lines = [
+            f"  {change['key']} ({change['selector'] or 'all'}): {change['old']} -> {change['new']}"
+            for change in table["changes"]
+        ]
         text += "\nWhat came in between:\n" + "\n".join(lines[:20])
         text += "\nSee `cindersail history`, then ask again: the command will start from the new head."
-    if kind == "busy":
+    if error_code == "busy":
         text += "\n--on-overlap queue waits for it, --on-overlap supersede takes over what it has not reached."
     return text
 
 
 @asynccontextmanager
-async def connect(where: Target) -> AsyncIterator[Client]:
-    """A client that speaks a version that the agent speaks too."""
-    headers = {"Authorization": f"Bearer {where.token}"} if where.token else {}
+async def connect(target: Target) -> AsyncIterator[Client]:
+    """Connects to an agent; raises Failure if it does not support version 1 of the API."""
+    headers = {"Authorization": f"Bearer {target.token}"} if target.token else {}
     connector = None
-    if where.agent.startswith("unix:"):
-        connector = aiohttp.UnixConnector(where.agent.removeprefix("unix:"))
-    timeout = aiohttp.ClientTimeout(total=CALL_S, connect=5.0)
+    if target.agent.startswith("unix:"):
+        connector = aiohttp.UnixConnector(target.agent.removeprefix("unix:"))
+    timeout = aiohttp.ClientTimeout(total=CALL_TIMEOUT_S, connect=5.0)
     async with aiohttp.ClientSession(connector=connector, headers=headers, timeout=timeout) as session:
-        client = Client(where, session)
+        client = Client(target, session)
         versions = (await client.call("GET", "/versions")).get("versions", [])
         if 1 not in versions:
             text = f"the agent speaks versions {versions}, this command 1: update one of them"
@@ -150,20 +153,20 @@
         yield client
 
 
-def instances(where: Target, path: str, name: str | None, selector: str) -> dict[str, Any]:
-    """What the selected instances, or the one of this name, answer to a call for all of them."""
+def instances(target: Target, path: str, name: str | None, selector: str) -> dict[str, Any]:
+    """Returns the responses at `path` by instance, for the named instance or for all selected ones."""
     query = f"name={name}" if name else selector
-    found = call(where, "GET", f"{path}?selector={quote(query, safe='')}")["instances"]
-    if name and name not in found:
+    responses = call(target, "GET", f"{path}?selector={quote(query, safe='')}")["instances"]
+    if name and name not in responses:
         raise Failure(f"there is no instance {name}", BAD_INPUT)
-    return found
+    return responses
 
 
-def call(where: Target, method: str, path: str, body: dict[str, Any] | None = None) -> dict[str, Any]:
-    """One call. An agent whose store is new and that still listens for what instances have is waited for."""
+def call(target: Target, method: str, path: str, body: dict[str, Any] | None = None) -> dict[str, Any]:
+    """Makes one call; retries once if the agent is still recovering the settings from its instances."""
 
     async def once() -> dict[str, Any]:
-        async with connect(where) as client:
+        async with connect(target) as client:
             try:
                 return await client.call(method, path, body)
             except Failure as error:
@@ -176,36 +179,39 @@
     return asyncio.run(once())
 
 
-async def follow(where: Target, number: int, patience_s: float) -> AsyncIterator[dict[str, Any]]:
-    """A rollout's table each time it has changed, to its end. An agent that is away is waited for `patience_s`
-    long: a rollout goes on when the agent is back."""
+async def follow(target: Target, number: int, patience_s: float) -> AsyncIterator[dict[str, Any]]:
+    """Yields the state of a rollout, on each event or at least every second, until it stops.
+
+    Reconnects to an unreachable agent for up to `patience_s` seconds, as a rollout continues when the agent is
+    back.
+    """
     loop = asyncio.get_running_loop()
-    seen = loop.time()
+    last_response_at = loop.time()
     while True:
         try:
-            async with connect(where) as client, client.news() as news:
+            async with connect(target) as client, client.watch_events() as events:
                 while True:
                     table = await client.call("GET", f"/v1/rollouts/{number}")
-                    seen = loop.time()
+                    last_response_at = loop.time()
                     yield table
-                    if ended(table):
+                    if has_stopped(table):
                         return
                     with suppress(TimeoutError):
                         async with asyncio.timeout(1.0):
-                            async for item in news:
-                                if item.get("rollout", {}).get("number") == number:
+                            async for event in events:
+                                if event.get("rollout", {}).get("number") == number:
                                     break
                             else:
                                 raise ConnectionResetError
         except (Failure, aiohttp.ClientError, OSError) as error:
             if isinstance(error, Failure) and error.exit_code != UNREACHABLE:
                 raise
-            if loop.time() - seen > patience_s:
+            if loop.time() - last_response_at > patience_s:
                 text = f"the agent went away while rollout {number} ran; it goes on when the agent is back"
                 raise Failure(text, UNREACHABLE) from None
             await asyncio.sleep(0.3)
 
 
-def ended(table: dict[str, Any]) -> bool:
-    """Whether a rollout is over, or stands still until an operator says more."""
+def has_stopped(table: dict[str, Any]) -> bool:
+    """Whether a rollout has ended, or is paused until an operator decides."""
     return table["phase"] not in ("running", "soaking", "undoing", "queued")
--- a/covetally/cli/drain.py
+++ b/covetally/cli/drain.py
@@ -13,8 +13,8 @@
 import click
 
 from covetally.cli import client
-from covetally.cli.client import ALL_TOOK, BAD_INPUT, SOME_DID_NOT, Target
-from covetally.cli.shared import REASON, SELECTOR, connected, console, print_table, show_json
+from covetally.cli.client import ALL_SUCCEEDED, BAD_INPUT, SOME_FAILED, Target
+from covetally.cli.shared import REASON, SELECTOR, console, print_table, show_json, with_agent_options
 
 
 @click.group(invoke_without_command=True)
@@ -27,8 +27,8 @@
     help="Seconds until all requests have to be finished and connections closed.  [longest deadline + 0.5]",
 )
 @REASON
-@connected
-def drain(where: Target, selector: str, within_s: float | None, reason: str, as_json: bool) -> None:
+@with_agent_options
+def drain(target: Target, selector: str, within_s: float | None, reason: str, as_json: bool) -> None:
     """Drain instances until `resume`; with a subcommand, drain or restart a fleet within capacity floors.
 
     Clients are notified to use other instances. Drained instances refuse new clients and stay drained when they
@@ -37,13 +37,13 @@
     if click.get_current_context().invoked_subcommand is not None:
         return
     body = {"selector": selector, "within_s": within_s, "reason": reason}
-    results = client.call(where, "POST", "/v1/drain", body)["instances"]
+    results = client.call(target, "POST", "/v1/drain", body)["instances"]
     if as_json:
         show_json({"instances": results})
     else:
         for item in results:
             click.echo(f"{item['name']}: {'done' if item['done'] else item['error']}")
-    sys.exit(ALL_TOOK if all(item["done"] for item in results) else SOME_DID_NOT)
+    sys.exit(ALL_SUCCEEDED if all(item["done"] for item in results) else SOME_FAILED)
 
 
 def _parse_floor(text: str) -> list[Any]:
@@ -113,10 +113,10 @@
 @drain.command("plan")
 @SELECTOR
 @_with_order_options
-@connected
-def plan(where: Target, selector: str, order: dict[str, Any], as_json: bool) -> None:
+@with_agent_options
+def plan(target: Target, selector: str, order: dict[str, Any], as_json: bool) -> None:
     """Show the planned waves, their capacity calculation and what would shorten them; start nothing."""
-    preview = client.call(where, "POST", "/v1/drains", order | {"selector": selector, "dry_run": True})["plan"]
+    preview = client.call(target, "POST", "/v1/drains", order | {"selector": selector, "dry_run": True})["plan"]
     if as_json:
         show_json(preview)
     else:
@@ -127,18 +127,18 @@
 @SELECTOR
 @REASON
 @_with_order_options
-@connected
-def start(where: Target, selector: str, reason: str, order: dict[str, Any], as_json: bool) -> None:
+@with_agent_options
+def start(target: Target, selector: str, reason: str, order: dict[str, Any], as_json: bool) -> None:
     """Start a drain order, which the agent runs wave by wave within its floors."""
-    result = client.call(where, "POST", "/v1/drains", order | {"selector": selector, "reason": reason})
+    result = client.call(target, "POST", "/v1/drains", order | {"selector": selector, "reason": reason})
     _show(result, as_json)
 
 
 @drain.command()
-@connected
-def status(where: Target, as_json: bool) -> None:
+@with_agent_options
+def status(target: Target, as_json: bool) -> None:
     """Show the current drain order, or the last one."""
-    _show(client.call(where, "GET", "/v1/drains"), as_json)
+    _show(client.call(target, "GET", "/v1/drains"), as_json)
 
 
 def _add_control_command(action: str, help_text: str) -> None:
@@ -146,9 +146,9 @@
 
     @drain.command(action, help=help_text)
     @REASON
-    @connected
-    def command(where: Target, reason: str, as_json: bool) -> None:
-        _show(client.call(where, "POST", f"/v1/drains/{action}", {"reason": reason}), as_json)
+    @with_agent_options
+    def command(target: Target, reason: str, as_json: bool) -> None:
+        _show(client.call(target, "POST", f"/v1/drains/{action}", {"reason": reason}), as_json)
 
 
 _add_control_command("halt", "Halt the order: no more instances go out, those that are out return.")
@@ -177,14 +177,14 @@
 @click.option(
     "--write-off", metavar="NAME", help="Declare that unit NAME, which is out by a permit, will not return."
 )
-@connected
-def outages(where: Target, write_off: str | None, as_json: bool) -> None:
+@with_agent_options
+def outages(target: Target, write_off: str | None, as_json: bool) -> None:
     """Show the units that are out, planned or not, with cause and duration, and capacity beside the floors."""
     if write_off is not None:
-        result = client.call(where, "POST", f"/v1/drains/write-off/{write_off}")
+        result = client.call(target, "POST", f"/v1/drains/write-off/{write_off}")
         show_json(result) if as_json else click.echo(f"{write_off}: {result['ended']}")
         return
-    table = client.call(where, "GET", "/v1/drains")
+    table = client.call(target, "GET", "/v1/drains")
     if as_json:
         show_json({key: table[key] for key in ("out", "permits", "capacity", "floors", "epoch")})
         return
--- a/covetally/cli/fleet.py
+++ b/covetally/cli/fleet.py
@@ -1,4 +1,4 @@
-"""The commands that look after a whole fleet, put together."""
+"""The commands that operate a whole fleet, collected for the main command."""
 
 from __future__ import annotations
 
--- a/covetally/cli/main.py
+++ b/covetally/cli/main.py
@@ -1,4 +1,4 @@
-"""The `cindersail` command: its groups, its exit codes."""
+"""The `cindersail` command: its subcommands and exit codes."""
 
 from __future__ import annotations
 
@@ -16,6 +16,7 @@
 
 
 def _version() -> str:
+    """The version of the installed package."""
     try:
         return version("covetally")
     except PackageNotFoundError:  # run from a checkout that is not installed
@@ -25,10 +26,10 @@
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
 @click.version_option(_version(), prog_name="cindersail")
 def main() -> None:
-    """Look after cindersail sidecars.
+    """Operate cindersail sidecars.
 
-    Exit status: 0 all is well, 1 something did not hold or some did not take it, 2 the input cannot be used,
-    3 conflict, 4 the agent cannot be reached, 5 not allowed.
+    Exit status: 0 success, 1 a check failed or some instances failed or refused, 2 invalid input, 3 conflict,
+    4 agent unreachable, 5 not allowed.
     """
 
 
@@ -38,9 +39,9 @@
 
 @main.command()
 @click.argument("file", type=click.Path(path_type=Path))
-@click.option("--json", "as_json", is_flag=True, help="For machines.")
+@click.option("--json", "as_json", is_flag=True, help="Print JSON.")
 def check(file: Path, as_json: bool) -> None:
-    """Check an operators' FILE and name every mistake in it at once."""
+    """Check an operators' FILE and list every problem in it."""
     problems: list[operator_check.Problem] = []
     values: operator_check.Values = {}
     try:
@@ -48,8 +49,8 @@
     except operator_check.OperatorError as error:
         problems = error.problems
     if as_json:
-        found = {"file": str(file), "settings": values, "problems": [p.as_dict() for p in problems]}
-        click.echo(json.dumps(found, indent=2))
+        report = {"file": str(file), "settings": values, "problems": [p.as_dict() for p in problems]}
+        click.echo(json.dumps(report, indent=2))
     else:
         for problem in problems:
             click.echo(f"{file}: {problem}", err=True)
@@ -59,22 +60,22 @@
 
 
 @main.command()
-@click.option("--seconds", type=click.FloatRange(8, 3600), help="How long.  [29; managed: 600]")
+@click.option("--seconds", type=click.FloatRange(8, 3600), help="Duration in seconds.  [29; managed: 600]")
 @click.option("--nodes", type=click.IntRange(1, 60), default=6, show_default=True, help="Ledger nodes.")
 @click.option("--instances", type=click.IntRange(1, 60), default=3, show_default=True, help="Sidecars.")
 @click.option("--rate", type=click.FloatRange(1, 2000), default=200.0, show_default=True, help="Requests/s.")
-@click.option("--seed", type=int, default=1, show_default=True, help="Of the schedule and the nodes.")
-@click.option("--managed", is_flag=True, help="Under an agent instead, to try the other commands on.")
-@click.option("--registry", is_flag=True, help="Managed, and with the nodes in a Eureka registry.")
-@click.option("--tier", "peers", is_flag=True, help="Managed, and the sidecars hold a limit together.")
-@click.option("--json", "as_json", is_flag=True, help="The account for machines; progress goes to stderr.")
+@click.option("--seed", type=int, default=1, show_default=True, help="Seed of the schedule and the nodes.")
+@click.option("--managed", is_flag=True, help="Run under an agent, to try the other commands.")
+@click.option("--registry", is_flag=True, help="As --managed, with the nodes in a Eureka registry.")
+@click.option("--tier", "peers", is_flag=True, help="As --managed, with a limit that the sidecars share.")
+@click.option("--json", "as_json", is_flag=True, help="Print the report as JSON; progress goes to stderr.")
 def demo(
     seconds: float | None, nodes: int, instances: int, rate: float, seed: int, managed: bool, registry: bool,
     peers: bool, as_json: bool,
 ) -> None:  # fmt: skip
-    """Play nodes, sidecars and clients on this machine, with troubles, and judge the account.
+    """Run nodes, sidecars and clients on this machine with injected faults, and check the results.
 
-    Exit status 0: every request had one final answer and all rules were kept; 1: one was broken.
+    Exit status 0: every request had exactly one final response and no rule was violated; 1: otherwise.
     """
     from covetally.rig.demo import play, play_managed
     from covetally.rig.world import Shape
@@ -88,17 +89,17 @@
 @main.command("audit-check")
 @click.argument("file", type=click.Path(path_type=Path, exists=True, dir_okay=False))
 def audit_check(file: Path) -> None:
-    """Say whether every line of an agent's audit log FILE follows from the one before; exit status 1 if not."""
+    """Verify the chain of lines in an agent's audit log FILE; exit status 1 if it is broken."""
     from covetally.fleet.audit import verify
 
-    wrong = verify(file)
-    for line in wrong:
+    broken_lines = verify(file)
+    for line in broken_lines:
         click.echo(line, err=True)
-    click.echo(f"{file}: {len(wrong)} lines are not in order" if wrong else f"{file}: in order")
-    sys.exit(1 if wrong else 0)
+    click.echo(f"{file}: {len(broken_lines)} lines are not in order" if broken_lines else f"{file}: in order")
+    sys.exit(1 if broken_lines else 0)
 
 
-_SCRIPTS = {
+_COMPLETION_SCRIPTS = {
     "bash": 'eval "$(_CINDERSAIL_COMPLETE=bash_source cindersail)"',
     "zsh": 'eval "$(_CINDERSAIL_COMPLETE=zsh_source cindersail)"',
     "fish": "_CINDERSAIL_COMPLETE=fish_source cindersail | source",
@@ -106,10 +107,10 @@
 
 
 @main.command()
-@click.argument("shell", type=click.Choice(sorted(_SCRIPTS)))
+@click.argument("shell", type=click.Choice(sorted(_COMPLETION_SCRIPTS)))
 def completion(shell: str) -> None:
-    """Print the line that turns on completion; put it into the SHELL's start-up file."""
-    click.echo(_SCRIPTS[shell])
+    """Print the line that enables completion, for the start-up file of SHELL."""
+    click.echo(_COMPLETION_SCRIPTS[shell])
 
 
 if __name__ == "__main__":
--- a/covetally/cli/rollouts.py
+++ b/covetally/cli/rollouts.py
@@ -10,8 +10,8 @@
 from rich.progress import BarColumn, MofNCompleteColumn, Progress, TextColumn
 
 from covetally.cli import client
-from covetally.cli.client import ALL_TOOK, SOME_DID_NOT, Target
-from covetally.cli.shared import REASON, connected, console, print_table, show_json
+from covetally.cli.client import ALL_SUCCEEDED, SOME_FAILED, Target
+from covetally.cli.shared import REASON, console, print_table, show_json, with_agent_options
 
 
 @click.group()
@@ -21,11 +21,11 @@
 
 @rollout.command("status")
 @click.argument("number", type=int, required=False)
-@connected
-def rollout_status(where: Target, number: int | None, as_json: bool) -> None:
+@with_agent_options
+def rollout_status(target: Target, number: int | None, as_json: bool) -> None:
     """Show one rollout, or list all known rollouts."""
     if number is None:
-        response = client.call(where, "GET", "/v1/rollouts")
+        response = client.call(target, "GET", "/v1/rollouts")
         if as_json:
             show_json(response)
             return
@@ -36,7 +36,7 @@
         ]  # fmt: skip
         print_table(("rollout", "revision", "for", "by", "phase", "states", "why"), rows)
         return
-    item = client.call(where, "GET", f"/v1/rollouts/{number}")
+    item = client.call(target, "GET", f"/v1/rollouts/{number}")
     show_json(item) if as_json else _show_rollout(item)
 
 
@@ -45,10 +45,10 @@
 @click.option(
     "--patience", type=float, default=60.0, show_default=True, help="Seconds to wait for an unreachable agent."
 )
-@connected
-def rollout_watch(where: Target, number: int, patience: float, as_json: bool) -> None:
+@with_agent_options
+def rollout_watch(target: Target, number: int, patience: float, as_json: bool) -> None:
     """Show the progress of rollout NUMBER until it ends."""
-    item = _follow(where, number, as_json, patience)
+    item = _follow(target, number, as_json, patience)
     _report(item, as_json, {})
 
 
@@ -58,9 +58,9 @@
     @rollout.command(action, help=help_text)
     @click.argument("number", type=int)
     @REASON
-    @connected
-    def command(where: Target, number: int, reason: str, as_json: bool) -> None:
-        item = client.call(where, "POST", f"/v1/rollouts/{number}/{action}", {"reason": reason})["rollout"]
+    @with_agent_options
+    def command(target: Target, number: int, reason: str, as_json: bool) -> None:
+        item = client.call(target, "POST", f"/v1/rollouts/{number}/{action}", {"reason": reason})["rollout"]
         show_json(item) if as_json else click.echo(f"rollout {number}: {item['phase']}")
 
 
@@ -70,7 +70,7 @@
 _add_control_command("undo", "Restore the previous settings everywhere, by a new revision.")
 
 
-def finish(where: Target, item: dict[str, Any], wait: bool, as_json: bool, extra: dict[str, Any]) -> None:
+def finish(target: Target, item: dict[str, Any], wait: bool, as_json: bool, extra: dict[str, Any]) -> None:
     """Reports a rollout that was just started; with `wait`, follows it and exits with its status.
 
     `extra` is added to the JSON output.
@@ -79,11 +79,11 @@
         text = f"rollout {item['number']}: {item['phase']}"
         show_json(extra | {"rollout": item}) if as_json else click.echo(text)
         return
-    last = _follow(where, item["number"], as_json, 60.0)
+    last = _follow(target, item["number"], as_json, 60.0)
     _report(last, as_json, extra, undone_is_success=False)  # an undone change did not take effect
 
 
-def _follow(where: Target, number: int, quiet: bool, patience_s: float) -> dict[str, Any]:
+def _follow(target: Target, number: int, quiet: bool, patience_s: float) -> dict[str, Any]:
     """Shows a rollout's progress until it ends: a bar on a terminal, otherwise a line per change.
 
     Returns the last state of the rollout.
@@ -96,7 +96,7 @@
         last_line, item = "", {}
         with bar:
             task = bar.add_task(f"rollout {number}", total=1, s="")
-            async for item in client.follow(where, number, patience_s):
+            async for item in client.follow(target, number, patience_s):
                 unfinished = sum(item["counts"].get(state, 0) for state in ("pending", "sent", "restarting"))
                 finished = item["members"] - unfinished
                 line = f"{item['phase']}, wave {item['wave']} of {item['waves']}: {_format_counts(item)}"
@@ -139,4 +139,4 @@
     succeeded = item["phase"] == "done" or (
         undone_is_success and item["phase"] == "undone" and not item["missing"]
     )
-    sys.exit(ALL_TOOK if succeeded else SOME_DID_NOT)
+    sys.exit(ALL_SUCCEEDED if succeeded else SOME_FAILED)
--- a/covetally/cli/roster.py
+++ b/covetally/cli/roster.py
@@ -8,8 +8,8 @@
 import click
 
 from covetally.cli import client
-from covetally.cli.client import ALL_TOOK, SOME_DID_NOT, Target
-from covetally.cli.shared import REASON, SELECTOR, connected, console, print_table, show_json
+from covetally.cli.client import ALL_SUCCEEDED, SOME_FAILED, Target
+from covetally.cli.shared import REASON, SELECTOR, console, print_table, show_json, with_agent_options
 
 
 @click.group()
@@ -40,10 +40,10 @@
 @roster.command()
 @click.argument("name", required=False)
 @SELECTOR
-@connected
-def show(where: Target, name: str | None, selector: str, as_json: bool) -> None:
+@with_agent_options
+def show(target: Target, name: str | None, selector: str, as_json: bool) -> None:
     """Show the node lists of the selected instances and their differences, or the full list of instance NAME."""
-    tables = client.instances(where, "/v1/rosters", name, selector)
+    tables = client.instances(target, "/v1/rosters", name, selector)
     differences = disagreements(tables)
     if as_json:
         show_json({"instances": tables, "differ": differences})
@@ -110,17 +110,17 @@
     @roster.command(action, help=help_text)
     @SELECTOR
     @REASON
-    @connected
-    def command(where: Target, selector: str, reason: str, as_json: bool) -> None:
+    @with_agent_options
+    def command(target: Target, selector: str, reason: str, as_json: bool) -> None:
         body = {"selector": selector, "reason": reason}
-        results = client.call(where, "POST", f"/v1/{action}", body)["instances"]
+        results = client.call(target, "POST", f"/v1/{action}", body)["instances"]
         if as_json:
             show_json({"instances": results})
         else:
             print_table(("instance", "done", "why not"), [
                 (result["name"], result["done"], result["error"]) for result in results
             ])  # fmt: skip
-        raise SystemExit(ALL_TOOK if all(result["done"] for result in results) else SOME_DID_NOT)
+        raise SystemExit(ALL_SUCCEEDED if all(result["done"] for result in results) else SOME_FAILED)
 
     return command
 
--- a/covetally/cli/tier.py
+++ b/covetally/cli/tier.py
@@ -9,7 +9,7 @@
 
 from covetally.cli import client
 from covetally.cli.client import Target
-from covetally.cli.shared import SELECTOR, connected, console, print_table, show_json
+from covetally.cli.shared import SELECTOR, console, print_table, show_json, with_agent_options
 
 InstanceTables = dict[str, dict[str, Any]]
 
@@ -57,10 +57,10 @@
 @tier.command()
 @click.argument("name", required=False)
 @SELECTOR
-@connected
-def members(where: Target, name: str | None, selector: str, as_json: bool) -> None:
+@with_agent_options
+def members(target: Target, name: str | None, selector: str, as_json: bool) -> None:
     """Show the members as seen by all selected instances, or by one instance NAME."""
-    found = client.instances(where, "/v1/tiers", name, selector)
+    found = client.instances(target, "/v1/tiers", name, selector)
     deviations = deviating_members(found)
     if as_json:
         show_json({"instances": found, "differ": deviations})
@@ -89,10 +89,10 @@
 @tier.command()
 @click.argument("name", required=False)
 @SELECTOR
-@connected
-def limits(where: Target, name: str | None, selector: str, as_json: bool) -> None:
+@with_agent_options
+def limits(target: Target, name: str | None, selector: str, as_json: bool) -> None:
     """Show the shared limits: what each sidecar may use, has borrowed and lent, and its demand."""
-    found = client.instances(where, "/v1/tiers", name, selector)
+    found = client.instances(target, "/v1/tiers", name, selector)
     sums = totals(found)
     if as_json:
         show_json({"instances": found, "totals": sums})
@@ -119,10 +119,10 @@
 @tier.command()
 @click.argument("name", required=False)
 @SELECTOR
-@connected
-def line(where: Target, name: str | None, selector: str, as_json: bool) -> None:
+@with_agent_options
+def line(target: Target, name: str | None, selector: str, as_json: bool) -> None:
     """Show the fleet-wide admission threshold at each sidecar: its step, since when, why, and what it refused."""
-    found = client.instances(where, "/v1/lines", name, selector)
+    found = client.instances(target, "/v1/lines", name, selector)
     if as_json:
         show_json({"instances": found})
         return
@@ -145,10 +145,10 @@
 @tier.command()
 @click.argument("name", required=False)
 @SELECTOR
-@connected
-def caps(where: Target, name: str | None, selector: str, as_json: bool) -> None:
+@with_agent_options
+def caps(target: Target, name: str | None, selector: str, as_json: bool) -> None:
     """Show tenants' connection caps: units usable, in use and wanted, and what each owner has lent."""
-    found = client.instances(where, "/v1/caps", name, selector)
+    found = client.instances(target, "/v1/caps", name, selector)
     if as_json:
         show_json({"instances": found})
         return
@@ -174,10 +174,10 @@
 @tier.command()
 @click.argument("name", required=False)
 @SELECTOR
-@connected
-def verdicts(where: Target, name: str | None, selector: str, as_json: bool) -> None:
+@with_agent_options
+def verdicts(target: Target, name: str | None, selector: str, as_json: bool) -> None:
     """Show which nodes and zones are reported or ejected, by whom, and the age of the oldest report."""
-    found = client.instances(where, "/v1/tiers", name, selector)
+    found = client.instances(target, "/v1/tiers", name, selector)
     if as_json:
         show_json({"instances": found})
         return
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -44,7 +44,7 @@
 
 
 async def ended(world: Managed, number: int, patience_s: float = 30.0):
-    async for table in client.follow(client.target(world.agent_address, None), number, patience_s):
+    async for table in client.follow(client.create_target(world.agent_address, None), number, patience_s):
         last = table
     return last
 
--- a/tests/release/test_processes.py
+++ b/tests/release/test_processes.py
@@ -48,7 +48,7 @@
                 world.mood(name, fail_fast=share)
             await asyncio.sleep(1.5)  # two heartbeats: what is compared begins in the storm at all of them
             body = {"parent": 0, "plan": GATED, "set": values, "anyway": True}
-            where = client.target(world.agent_address, None)
+            where = client.create_target(world.agent_address, None)
             await asyncio.to_thread(client.call, where, "POST", "/v1/revisions", body)
             found = await until_said(world, said)
             if len(values) == 2:
