--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -44,7 +44,7 @@
 
 
 async def wait_for_end(world: Managed, number: int, timeout_s: float = 30.0):
-    async for table in client.follow(client.target(world.agent_address, None), number, timeout_s):
+    async for table in client.follow(client.create_target(world.agent_address, None), number, timeout_s):
         last = table
     return last
 
--- a/tests/release/test_processes.py
+++ b/tests/release/test_processes.py
@@ -50,7 +50,7 @@
             # Two heartbeats, so that the compared time begins during the overload at all sidecars.
             await asyncio.sleep(1.5)
             body = {"parent": 0, "plan": PLAN, "set": values, "anyway": True}
-            where = client.target(world.agent_address, None)
+            where = client.create_target(world.agent_address, None)
             await asyncio.to_thread(client.call, where, "POST", "/v1/revisions", body)
             found = await until_reason(world, reason)
             if len(values) == 2:
