--- a/covetally/drainplan/errors.py
+++ b/covetally/drainplan/errors.py
@@ -9,10 +9,10 @@
 
 
 class FloorError(RefusedError):
-    """A floor leaves no room for a unit, even alone. `where` names the zone, or the fleet."""
+    """Draining this unit, even alone, would break a capacity floor. `where` names the zone or the fleet."""
 
     code = "floor"
-    remedy = "Bring back what is out there, add capacity, or lower that floor by name."
+    remedy = "Return units there to service, add capacity, or lower the named floor."
 
     def __init__(self, unit: str, where: str, floor: float, remaining: float) -> None:
         super().__init__(
@@ -23,10 +23,12 @@
 
 
 class PodError(RefusedError):
-    """A pod's last node never goes: keyed repeats are caught within one pod only."""
+    """The last node of a pod cannot be drained, because repeats of a keyed request are detected within one pod
+    only.
+    """
 
     code = "pod"
-    remedy = "Add a node to that pod, or bring one back, before this one goes."
+    remedy = "Add a node to that pod, or return one to service, before draining this one."
 
     def __init__(self, unit: str, pod: str) -> None:
         super().__init__(f"{unit} cannot be drained: it is the last available node of pod {pod}")
@@ -34,21 +36,21 @@
 
 
 class PermitError(RefusedError):
-    """A permit that cannot be given, or ended, so."""
+    """A permit cannot be issued or ended, or a drain order cannot be started or changed, in the current state."""
 
     code = "permit"
-    remedy = "Look at `cindersail outages` for who is out and why, and write a unit off by name if it stays out."
+    remedy = "Run `cindersail outages` to see which units are out and why; write off a unit that will not return."
 
 
 class EpochError(RefusedError):
-    """Another agent has gone on since: this one must not act."""
+    """Another agent acts in a higher epoch, so this one must not act."""
 
     code = "epoch"
-    remedy = "Stop this agent, or let it listen until it knows the newest epoch; the other one goes on."
+    remedy = "Stop this agent, or wait until it has learned the newest epoch; the other agent continues."
 
 
 class UnitsError(ConfigurationError):
-    """Units or floors that mean nothing."""
+    """A unit or a floor has an invalid value."""
 
     code = "units"
     remedy = "Correct the named unit or floor; capacities, times and floors are numbers of 0 or more."
--- a/covetally/overload/pins.py
+++ b/covetally/overload/pins.py
@@ -16,10 +16,10 @@
 
 
 class InvalidPin(ConfigurationError):
-    """A pin that says no rung, or no time."""
+    """A pin without a valid kind, level or duration."""
 
     code = "line-pin"
-    remedy = "Say pin, most or least; open, no-retries, own-shares or 3 to 24; seconds: pin:own-shares:600."
+    remedy = "Write pin, most or least; open, no-retries, own-shares or 3 to 24; seconds: pin:own-shares:600."
 
 
 @dataclass(frozen=True, slots=True)
